--- a/crates/core/src/admission/engine_window.rs
+++ b/crates/core/src/admission/engine_window.rs
@@ -6,10 +6,10 @@
 use crate::timestamp::Timestamp;
 
 /// Window of a fresh engine.
-const INITIAL: f64 = 128.0;
+const INITIAL_SIZE: f64 = 128.0;
 /// A window never closes wholly, or nothing would tell that the engine has room again.
-const SMALLEST: f64 = 1.0;
-const LARGEST: f64 = 4_096.0;
+const MIN_SIZE: f64 = 1.0;
+const MAX_SIZE: f64 = 4_096.0;
 /// Factor for an engine in which requests wait.
 const DECREASE: f64 = 0.85;
 /// Factor for an engine that refused a request as overloaded.
@@ -36,7 +36,7 @@
 impl Default for EngineWindow {
     fn default() -> Self {
         Self {
-            size: INITIAL,
+            size: INITIAL_SIZE,
             is_starting: true,
             decreased_at: None,
         }
@@ -53,7 +53,7 @@
     pub fn admits(&self, priority: Priority, in_flight: u32) -> bool {
         let limit = match priority {
             Priority::Interactive => self.size,
-            Priority::Batch => (self.size * BATCH_SHARE).max(SMALLEST),
+            Priority::Batch => (self.size * BATCH_SHARE).max(MIN_SIZE),
         };
         f64::from(in_flight) + 1.0 <= limit
     }
@@ -79,7 +79,7 @@
         } else {
             1.0 / self.size
         };
-        self.size = (self.size + step).min(LARGEST);
+        self.size = (self.size + step).min(MAX_SIZE);
     }
 
     fn decrease(&mut self, factor: f64, now: Timestamp) {
@@ -89,6 +89,6 @@
         }
         self.is_starting = false;
         self.decreased_at = Some(now);
-        self.size = (self.size * factor).max(SMALLEST);
+        self.size = (self.size * factor).max(MIN_SIZE);
     }
 }
--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -62,12 +62,12 @@
         let weight = f64::from(request.weight.max(1));
         tenant.virtual_start += f64::from(request.cost.max(1)) / weight;
         self.len -= 1;
-        self.drop_caught_up();
+        self.remove_idle_tenants();
         Some(request)
     }
 
     /// Takes out the newest request of the tenant with most waiting, to make room.
-    pub fn take_newest_of_longest(&mut self) -> Option<QueuedRequest> {
+    pub fn evict_newest_of_longest(&mut self) -> Option<QueuedRequest> {
         let name = self
             .tenants
             .iter()
@@ -103,7 +103,7 @@
     }
 
     /// Forgets tenants that have nothing waiting and owe no turns.
-    fn drop_caught_up(&mut self) {
+    fn remove_idle_tenants(&mut self) {
         let virtual_now = self.virtual_now;
         self.tenants
             .retain(|_, tenant| !tenant.requests.is_empty() || tenant.virtual_start > virtual_now);
--- a/crates/core/src/admission/queue_limits.rs
+++ b/crates/core/src/admission/queue_limits.rs
@@ -12,7 +12,7 @@
     /// After this long, batch work takes its turn with interactive work, so that it never starves.
     pub batch_promotion: Duration,
     /// Every so many turns go to promoted batch work while interactive work waits as well.
-    pub promoted_turn: u32,
+    pub turns_per_promotion: u32,
 }
 
 impl Default for QueueLimits {
@@ -21,7 +21,7 @@
             capacity: 1_024,
             batch_capacity: 768,
             batch_promotion: Duration::from_secs(5),
-            promoted_turn: 4,
+            turns_per_promotion: 4,
         }
     }
 }
--- a/crates/core/src/admission/request_queue.rs
+++ b/crates/core/src/admission/request_queue.rs
@@ -34,7 +34,7 @@
 
     /// Requests that wait.
     pub fn len(&self) -> usize {
-        self.continuations.len() + self.new_len()
+        self.continuations.len() + self.new_request_count()
     }
 
     /// Whether none waits.
@@ -63,13 +63,13 @@
     /// the tenant that has most waiting, so one tenant cannot keep the others out.
     pub fn push(&mut self, request: QueuedRequest) -> Option<QueuedRequest> {
         let priority = request.priority;
-        self.of(priority).push(request);
+        self.queue_mut(priority).push(request);
         if self.batch.len() > self.limits.batch_capacity {
-            return self.batch.take_newest_of_longest();
+            return self.batch.evict_newest_of_longest();
         }
-        if self.new_len() > self.limits.capacity {
-            let newest_batch = self.batch.take_newest_of_longest();
-            return newest_batch.or_else(|| self.interactive.take_newest_of_longest());
+        if self.new_request_count() > self.limits.capacity {
+            let newest_batch = self.batch.evict_newest_of_longest();
+            return newest_batch.or_else(|| self.interactive.evict_newest_of_longest());
         }
         None
     }
@@ -103,7 +103,7 @@
     }
 
     /// Whether a continuation or a request of this priority waits, so that a newer one must not overtake it.
-    pub fn holds_back(&self, priority: Priority) -> bool {
+    pub fn must_queue(&self, priority: Priority) -> bool {
         match priority {
             Priority::Interactive => {
                 !(self.continuations.is_empty() && self.interactive.is_empty())
@@ -112,11 +112,11 @@
         }
     }
 
-    fn new_len(&self) -> usize {
+    fn new_request_count(&self) -> usize {
         self.interactive.len() + self.batch.len()
     }
 
-    fn of(&mut self, priority: Priority) -> &mut FairQueue {
+    fn queue_mut(&mut self, priority: Priority) -> &mut FairQueue {
         match priority {
             Priority::Interactive => &mut self.interactive,
             Priority::Batch => &mut self.batch,
@@ -129,7 +129,7 @@
         }
         let promotion = self.limits.batch_promotion;
         let has_waited = |request: &QueuedRequest| now.since(request.queued_at) >= promotion;
-        let is_its_turn = self.turns_since_batch + 1 >= self.limits.promoted_turn;
+        let is_its_turn = self.turns_since_batch + 1 >= self.limits.turns_per_promotion;
         is_its_turn && self.batch.oldest().any(has_waited)
     }
 }
--- a/crates/core/src/admission/service_rate.rs
+++ b/crates/core/src/admission/service_rate.rs
@@ -6,8 +6,8 @@
 use crate::timestamp::Timestamp;
 
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MIN_WAIT: Duration = Duration::from_millis(100);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// How fast the requests of a pool get through, to tell a refused caller when to come back.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -29,11 +29,9 @@
     }
 
     /// How long `waiting` requests need to get through.
-    pub fn wait_for(&self, waiting: usize, now: Timestamp) -> Duration {
+    pub fn estimated_wait(&self, waiting: usize, now: Timestamp) -> Duration {
         let per_second = self.completions.per_second(now, TIME_CONSTANT);
         let seconds = waiting as f64 / per_second.max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64(
-            seconds.clamp(SHORTEST_WAIT.as_secs_f64(), LONGEST_WAIT.as_secs_f64()),
-        )
+        Duration::from_secs_f64(seconds.clamp(MIN_WAIT.as_secs_f64(), MAX_WAIT.as_secs_f64()))
     }
 }
--- a/crates/core/src/backpressure/condition.rs
+++ b/crates/core/src/backpressure/condition.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::{Bar, BarReason, Limit, Place, Report, Signal};
+use super::{Exclusion, ExclusionReason, Limit, Report, SenderPosition, Signal};
 use crate::Timestamp;
 
 /// Longest rest that is kept to: an engine that asks for more most likely does not mean it.
-const LONGEST_REST: Duration = Duration::from_secs(3_600);
+const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
 /// Others are told of a limit again when it has changed by this share.
-const TOLD_CHANGE: f64 = 0.2;
+const REPORT_THRESHOLD: f64 = 0.2;
 
 /// What an answer has changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -16,14 +16,14 @@
     /// The engine was not known to leave.
     pub is_leaving: bool,
     /// It names a limit, or one that differs much from that of before.
-    pub is_limited: bool,
+    pub limit_changed: bool,
     /// It names no limit any more.
-    pub is_limit_over: bool,
+    pub limit_ended: bool,
 }
 
 impl Change {
     /// Whether other nodes need to know.
-    pub fn is_news(self) -> bool {
+    pub fn needs_report(self) -> bool {
         self != Self::default()
     }
 }
@@ -32,18 +32,18 @@
 #[derive(Debug, Clone, Default)]
 pub struct Condition {
     is_leaving: bool,
-    rest_until: Option<Timestamp>,
+    backoff_until: Option<Timestamp>,
     limit: Option<Limit>,
     /// When a limit was last seen to be named or to be over, by whichever node.
     limit_at: Option<Timestamp>,
     /// What this node has seen itself: only that is told, so that no news go round for ever.
-    seen: Report,
+    observed: Report,
 }
 
 impl Condition {
     /// Whether nothing is known.
     pub fn is_empty(&self) -> bool {
-        !self.is_leaving && self.rest_until.is_none() && self.limit_at.is_none()
+        !self.is_leaving && self.backoff_until.is_none() && self.limit_at.is_none()
     }
 
     /// Whether the engine has said that it leaves. It does not come back in this life.
@@ -57,17 +57,17 @@
     }
 
     /// Takes what an answer to a request says that was sent at `sent_at`.
-    pub fn hear(&mut self, signal: &Signal, sent_at: Timestamp, now: Timestamp) -> Change {
-        if let Some(rest) = signal.rest {
-            let until = now.after(rest.min(LONGEST_REST));
-            self.rest_until = self.rest_until.max(Some(until));
+    pub fn apply_signal(&mut self, signal: &Signal, sent_at: Timestamp, now: Timestamp) -> Change {
+        if let Some(backoff) = signal.backoff {
+            let until = now.after(backoff.min(MAX_BACKOFF));
+            self.backoff_until = self.backoff_until.max(Some(until));
         }
-        let is_leaving = signal.is_leaving && !self.seen.is_leaving;
+        let is_leaving = signal.is_leaving && !self.observed.is_leaving;
         self.is_leaving |= signal.is_leaving;
-        self.seen.is_leaving |= signal.is_leaving;
+        self.observed.is_leaving |= signal.is_leaving;
         let change = match signal.rate_limit {
-            Some(per_second) => self.hear_limit(per_second, now),
-            None => self.hear_no_limit(sent_at, now),
+            Some(per_second) => self.apply_limit(per_second, now),
+            None => self.apply_missing_limit(sent_at, now),
         };
         Change {
             is_leaving,
@@ -75,99 +75,99 @@
         }
     }
 
-    fn hear_limit(&mut self, per_second: f64, now: Timestamp) -> Change {
+    fn apply_limit(&mut self, per_second: f64, now: Timestamp) -> Change {
         let known = self.limit.as_ref().map(Limit::per_second);
-        self.name_limit(per_second, now);
-        self.seen.limit = Some(per_second);
-        self.seen.limit_at = Some(now);
-        let differs = |known: f64| (known - per_second).abs() > known * TOLD_CHANGE;
+        self.set_limit(per_second, now);
+        self.observed.limit = Some(per_second);
+        self.observed.limit_at = Some(now);
+        let differs = |known: f64| (known - per_second).abs() > known * REPORT_THRESHOLD;
         Change {
-            is_limited: known.is_none_or(differs),
+            limit_changed: known.is_none_or(differs),
             ..Change::default()
         }
     }
 
-    fn hear_no_limit(&mut self, sent_at: Timestamp, now: Timestamp) -> Change {
+    fn apply_missing_limit(&mut self, sent_at: Timestamp, now: Timestamp) -> Change {
         let limit = self.limit.as_mut();
-        if !limit.is_some_and(|limit| limit.leave_unnamed(sent_at, now)) {
+        if !limit.is_some_and(|limit| limit.record_omission(sent_at, now)) {
             return Change::default();
         }
-        self.end_limit(now);
-        self.seen.limit = None;
-        self.seen.limit_at = Some(now);
+        self.clear_limit(now);
+        self.observed.limit = None;
+        self.observed.limit_at = Some(now);
         Change {
-            is_limit_over: true,
+            limit_ended: true,
             ..Change::default()
         }
     }
 
-    fn name_limit(&mut self, per_second: f64, at: Timestamp) {
+    fn set_limit(&mut self, per_second: f64, at: Timestamp) {
         let limit = self.limit.get_or_insert_with(|| Limit::new(per_second, at));
-        limit.name(per_second, at);
+        limit.advertise(per_second, at);
         self.limit_at = self.limit_at.max(Some(at));
     }
 
-    fn end_limit(&mut self, at: Timestamp) {
+    fn clear_limit(&mut self, at: Timestamp) {
         self.limit = None;
         self.limit_at = self.limit_at.max(Some(at));
     }
 
     /// What this node has seen itself; `None` when that is nothing.
     pub fn report(&self) -> Option<Report> {
-        let has_seen = self.seen.is_leaving || self.seen.limit_at.is_some();
-        has_seen.then_some(self.seen)
+        let has_observed = self.observed.is_leaving || self.observed.limit_at.is_some();
+        has_observed.then_some(self.observed)
     }
 
     /// Takes what another node has seen, as far as that is newer; tells whether that changes anything.
-    pub fn merge(&mut self, told: &Report) -> bool {
-        let knew = (self.is_leaving, self.limit.is_some());
-        self.is_leaving |= told.is_leaving;
-        if let Some(at) = told.limit_at.filter(|at| self.limit_at < Some(*at)) {
-            match told.limit {
-                Some(per_second) => self.name_limit(per_second, at),
-                None => self.end_limit(at),
+    pub fn merge(&mut self, remote: &Report) -> bool {
+        let before = (self.is_leaving, self.limit.is_some());
+        self.is_leaving |= remote.is_leaving;
+        if let Some(at) = remote.limit_at.filter(|at| self.limit_at < Some(*at)) {
+            match remote.limit {
+                Some(per_second) => self.set_limit(per_second, at),
+                None => self.clear_limit(at),
             }
         }
-        knew != (self.is_leaving, self.limit.is_some())
+        before != (self.is_leaving, self.limit.is_some())
     }
 
     /// Takes the place of this node among those that may send to the engine, and forgets a limit that must be over.
-    pub fn refresh(&mut self, place: &Place, now: Timestamp) {
+    pub fn refresh(&mut self, position: &SenderPosition, now: Timestamp) {
         let limit = self.limit.as_mut();
-        if let Some(limit) = limit.filter(|limit| !limit.is_outdated(place.nodes, now)) {
-            limit.set_place(place, now);
+        if let Some(limit) = limit.filter(|limit| !limit.is_expired(position.nodes, now)) {
+            limit.set_position(position, now);
         } else {
             self.limit = None;
         }
     }
 
     /// Why the engine gets nothing now.
-    pub fn bar(&self, now: Timestamp) -> Option<Bar> {
+    pub fn exclusion(&self, now: Timestamp) -> Option<Exclusion> {
         if self.is_leaving {
-            return Some(Bar {
-                reason: BarReason::Leaving,
+            return Some(Exclusion {
+                reason: ExclusionReason::Leaving,
                 until: None,
             });
         }
-        let resting = self
-            .rest_until
+        let backing_off = self
+            .backoff_until
             .filter(|until| now < *until)
-            .map(|until| Bar {
-                reason: BarReason::Resting,
+            .map(|until| Exclusion {
+                reason: ExclusionReason::BackingOff,
                 until: Some(until),
             });
-        resting.or_else(|| {
+        backing_off.or_else(|| {
             let next_at = self.limit.as_ref()?.next_at(now);
             let is_open = next_at.is_some_and(|at| at <= now);
-            (!is_open).then_some(Bar {
-                reason: BarReason::Limited,
+            (!is_open).then_some(Exclusion {
+                reason: ExclusionReason::Limited,
                 until: next_at,
             })
         })
     }
 
     /// A request is sent to the engine.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         if let Some(limit) = &mut self.limit {
             limit.take(now);
         }
--- a/crates/core/src/backpressure/bar.rs
+++ b/crates/core/src/backpressure/exclusion.rs
@@ -6,13 +6,13 @@
 
 /// What bars an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
-pub enum BarReason {
+pub enum ExclusionReason {
     /// It leaves.
     #[display("leaving")]
     Leaving,
     /// It has asked this node for rest.
     #[display("resting")]
-    Resting,
+    BackingOff,
     /// This node's share of its limit is used up.
     #[display("limited")]
     Limited,
@@ -20,9 +20,9 @@
 
 /// Why an engine gets nothing now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bar {
+pub struct Exclusion {
     /// What bars it.
-    pub reason: BarReason,
+    pub reason: ExclusionReason,
     /// When it may be sent something again; `None` when that is not known.
     pub until: Option<Timestamp>,
 }
--- a/crates/core/src/backpressure/mod.rs
+++ b/crates/core/src/backpressure/mod.rs
@@ -4,16 +4,16 @@
 //! that it leaves. Each of these is a promise to the engine and no price: what it bars is never sent, however good the
 //! engine looks. A [`Condition`] holds what is known of one engine; `docs/design/backpressure.md` has the reasons.
 
-mod bar;
 mod condition;
+mod exclusion;
 mod limit;
 mod report;
-mod share;
+mod sender_share;
 mod signal;
 
-pub use bar::{Bar, BarReason};
 pub use condition::{Change, Condition};
+pub use exclusion::{Exclusion, ExclusionReason};
 pub use limit::Limit;
 pub use report::Report;
-pub use share::{Place, share_of};
+pub use sender_share::{SenderPosition, sender_share};
 pub use signal::Signal;
--- a/crates/core/src/backpressure/signal.rs
+++ b/crates/core/src/backpressure/signal.rs
@@ -8,7 +8,7 @@
     /// The engine leaves: it finishes what it has and wants nothing new.
     pub is_leaving: bool,
     /// The engine wants nothing more from the node that it answers for this time.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Requests a second that the engine takes from all nodes together.
     pub rate_limit: Option<f64>,
 }
--- a/crates/core/src/control/control_event.rs
+++ b/crates/core/src/control/control_event.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Change;
 use crate::identity::{BackEndName, IdempotencyKey, Incarnation, NodeName, TenantName};
-use crate::limit::LimitSend;
+use crate::limit::LimitEnvelope;
 use crate::migration::StageMeasurement;
 use crate::order::{EngineReport, OrderAnswer};
 
@@ -72,7 +72,7 @@
         key: IdempotencyKey,
     },
     /// The borrower among the traffic threads sends a message about a tenant's limit.
-    LimitSent(LimitSend),
+    LimitSent(LimitEnvelope),
     /// An operator asks which nodes are there and which configuration is in force on each.
     StatusRequested {
         /// Identifies the answer.
--- a/crates/core/src/control/limits.rs
+++ b/crates/core/src/control/limits.rs
@@ -5,7 +5,9 @@
 
 use crate::catalog::Catalog;
 use crate::identity::NodeName;
-use crate::limit::{LimitBank, LimitBankEvent, LimitMessage, LimitSend, LimitSettings};
+use crate::limit::{
+    LimitAllocator, LimitAllocatorEvent, LimitEnvelope, LimitMessage, LimitSettings,
+};
 use crate::timestamp::Timestamp;
 
 use super::{Cluster, ControlAction, ControlSettings, Outbox, PeerMessage};
@@ -15,7 +17,7 @@
 #[derive(Debug)]
 pub struct Limits {
     name: NodeName,
-    bank: LimitBank,
+    bank: LimitAllocator,
 }
 
 impl Limits {
@@ -23,7 +25,7 @@
     pub fn new(settings: &ControlSettings) -> Self {
         Self {
             name: settings.name.clone(),
-            bank: LimitBank::new(settings.name.clone(), LimitSettings::default()),
+            bank: LimitAllocator::new(settings.name.clone(), LimitSettings::default()),
         }
     }
 
@@ -35,7 +37,7 @@
         now: Timestamp,
         outbox: &mut Outbox,
     ) {
-        let event = LimitBankEvent::CatalogChanged(Arc::clone(catalog));
+        let event = LimitAllocatorEvent::CatalogChanged(Arc::clone(catalog));
         let mut sends = Vec::new();
         self.bank.handle(event, now, &mut sends);
         self.deliver(sends, cluster, now, outbox);
@@ -44,7 +46,7 @@
     /// Takes a message that the borrower of this node sends.
     pub fn send(
         &mut self,
-        send: LimitSend,
+        send: LimitEnvelope,
         cluster: &Cluster,
         now: Timestamp,
         outbox: &mut Outbox,
@@ -71,14 +73,14 @@
         from: NodeName,
         message: LimitMessage,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
         outbox: &mut Outbox,
     ) {
         if let LimitMessage::Grant(grant) = message {
             outbox.push(ControlAction::LimitGranted { from, grant });
             return;
         }
-        let event = LimitBankEvent::Received { from, message };
+        let event = LimitAllocatorEvent::Received { from, message };
         self.bank.handle(event, now, sends);
     }
 
@@ -86,7 +88,7 @@
     /// borrower. A message that is lost is asked for again by its borrower.
     fn deliver(
         &mut self,
-        sends: Vec<LimitSend>,
+        sends: Vec<LimitEnvelope>,
         cluster: &Cluster,
         now: Timestamp,
         outbox: &mut Outbox,
--- a/crates/core/src/dispatch/dispatch_action.rs
+++ b/crates/core/src/dispatch/dispatch_action.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher wants done.
 
 use crate::identity::{AttemptId, RequestId};
-use crate::limit::LimitSend;
+use crate::limit::LimitEnvelope;
 
 use super::{Assignment, FinalOutcome};
 
@@ -21,7 +21,7 @@
         attempt: AttemptId,
     },
     /// Send a message about a tenant's limit to another router process.
-    SendLimit(LimitSend),
+    SendLimit(LimitEnvelope),
     /// The request is over; give the caller its final answer at once.
     Finish {
         /// The request.
--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -21,7 +21,7 @@
 use crate::limit::LimitSettings;
 use crate::migration::{StageMeasurement, StageMeter};
 use crate::placement::{
-    CacheKnowledge, PoolIndex, PoolMember, PrefixHeat, Retention, SiteDistance,
+    CacheDirectory, DataCentreLatency, PoolIndex, PoolMember, PrefixRequestRates, Retention,
 };
 use crate::retry::RetryBudget;
 use crate::timestamp::Timestamp;
@@ -52,10 +52,10 @@
     pools: BTreeMap<PoolName, PoolState>,
     /// Queued requests by the time at which they are given up.
     give_up_times: BTreeSet<(Timestamp, RequestId)>,
-    heat: PrefixHeat,
-    knowledge: CacheKnowledge,
+    heat: PrefixRequestRates,
+    knowledge: CacheDirectory,
     kept: KeptPrefixes,
-    distances: SiteDistance,
+    distances: DataCentreLatency,
     retry_budget: RetryBudget,
     first_request_at: Option<Timestamp>,
     /// `None` while limits of tenants are not enforced.
@@ -79,7 +79,7 @@
     ) -> Self {
         let remembered = parameters.remembered_prefixes;
         Self {
-            distances: SiteDistance::new(data_centre, parameters.data_centre_distance),
+            distances: DataCentreLatency::new(data_centre, parameters.data_centre_distance),
             zone,
             seed,
             attempts_started: 0,
@@ -89,8 +89,8 @@
             engines: EngineTable::default(),
             pools: BTreeMap::new(),
             give_up_times: BTreeSet::new(),
-            heat: PrefixHeat::new(remembered, parameters.heat_time_constant),
-            knowledge: CacheKnowledge::new(remembered),
+            heat: PrefixRequestRates::new(remembered, parameters.heat_time_constant),
+            knowledge: CacheDirectory::new(remembered),
             kept: KeptPrefixes::new(remembered, parameters.kv_store_retention),
             retry_budget: RetryBudget::new(Timestamp::ZERO),
             first_request_at: None,
--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -75,7 +75,7 @@
         if record.has_begun() {
             pool.queue.push_continuation(queued);
         } else if let Some(given_up) = pool.queue.push(queued) {
-            let retry_after = pool.service_rate.wait_for(pool.queue.len(), now);
+            let retry_after = pool.service_rate.estimated_wait(pool.queue.len(), now);
             let request = given_up.request;
             self.leave_queue(&request);
             self.refuse(request, RefusalReason::QueueFull, retry_after, actions);
@@ -99,7 +99,7 @@
             let reason = record.give_up_reason;
             let pool = self.pools.get_mut(&profile.pool).expect("pool is known");
             pool.queue.remove(&profile.tenant, &request);
-            let retry_after = pool.service_rate.wait_for(pool.queue.len() + 1, now);
+            let retry_after = pool.service_rate.estimated_wait(pool.queue.len() + 1, now);
             self.refuse(request, reason, retry_after, actions);
         }
     }
--- a/crates/core/src/dispatch/dispatcher/retries.rs
+++ b/crates/core/src/dispatch/dispatcher/retries.rs
@@ -114,7 +114,7 @@
         } else {
             let retry_after = self
                 .retry_budget
-                .next_in()
+                .time_to_next_retry()
                 .max(self.parameters.no_back_end_retry_after);
             self.refuse(
                 request,
--- a/crates/core/src/dispatch/dispatcher/submission.rs
+++ b/crates/core/src/dispatch/dispatcher/submission.rs
@@ -62,7 +62,7 @@
         self.note_heat(&mut record, now);
         let must_wait = self.pools[&record.profile.pool]
             .queue
-            .holds_back(record.profile.priority);
+            .must_queue(record.profile.priority);
         self.requests.insert(request.clone(), record);
         if must_wait {
             self.enqueue(request, Duration::ZERO, now, actions);
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -6,7 +6,7 @@
 
 use crate::identity::{DataCentreName, ZoneName};
 use crate::placement::{
-    CacheKnowledge, CandidateOrder, EngineKey, PlacementPoint, PoolMember, SiteDistance,
+    CacheDirectory, CandidateOrder, DataCentreLatency, EngineKey, PlacementPoint, PoolMember,
 };
 use crate::timestamp::Timestamp;
 
@@ -34,10 +34,10 @@
     pub(super) parameters: &'a DispatchParameters,
     pub(super) engines: &'a EngineTable,
     pub(super) pool: &'a PoolState,
-    pub(super) knowledge: &'a CacheKnowledge,
+    pub(super) knowledge: &'a CacheDirectory,
     pub(super) kept: &'a KeptPrefixes,
     pub(super) kv_store: Option<SocketAddr>,
-    pub(super) distances: &'a SiteDistance,
+    pub(super) distances: &'a DataCentreLatency,
     pub(super) zone: &'a ZoneName,
     pub(super) now: Timestamp,
 }
--- a/crates/core/src/dispatch/pool_state.rs
+++ b/crates/core/src/dispatch/pool_state.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::admission::{RequestQueue, ServiceRate};
-use crate::placement::{FoundShare, PoolIndex, PrefillSpeed};
+use crate::placement::{CacheHitEstimate, PoolIndex, PrefillSpeed};
 use crate::timestamp::Timestamp;
 
 use super::DispatchParameters;
@@ -30,7 +30,7 @@
     /// Prompt tokens that a request had to compute.
     pub(super) mean_missed: Smoothed,
     /// Share of a prefix that other processes have sent to the first engine in order.
-    pub(super) found_share: FoundShare,
+    pub(super) found_share: CacheHitEstimate,
     residence_seconds: Smoothed,
     own_share: Smoothed,
 }
@@ -44,7 +44,7 @@
             service_rate: ServiceRate::new(now),
             prefill_speed: PrefillSpeed::new(speed),
             mean_missed: Smoothed::new(FIRST_MEAN_MISSED, SAMPLE_WEIGHT),
-            found_share: FoundShare::new(FIRST_FOUND_SHARE),
+            found_share: CacheHitEstimate::new(FIRST_FOUND_SHARE),
             residence_seconds: Smoothed::new(FIRST_RESIDENCE_SECONDS, SAMPLE_WEIGHT),
             own_share: Smoothed::new(1.0, SAMPLE_WEIGHT),
         }
--- a/crates/core/src/dispatch/tenant_gate.rs
+++ b/crates/core/src/dispatch/tenant_gate.rs
@@ -5,7 +5,9 @@
 
 use crate::catalog::Catalog;
 use crate::identity::{NodeName, RequestId, TenantName};
-use crate::limit::{LimitBorrower, LimitCost, LimitDecision, LimitGrant, LimitSend, LimitSettings};
+use crate::limit::{
+    LimitClient, LimitCost, LimitDecision, LimitEnvelope, LimitGrant, LimitSettings,
+};
 use crate::timestamp::Timestamp;
 
 use super::{DispatchAction, FinalOutcome, Refusal, RefusalReason, RequestProfile, RunState};
@@ -16,7 +18,7 @@
 /// Lets requests through while their tenants have tickets, and holds those that wait for some.
 #[derive(Debug)]
 pub(super) struct TenantGate {
-    borrower: LimitBorrower,
+    borrower: LimitClient,
     settings: LimitSettings,
     waiting: BTreeMap<TenantName, VecDeque<RequestProfile>>,
     waiting_count: usize,
@@ -27,7 +29,7 @@
 impl TenantGate {
     pub fn new(node: NodeName, started_at: Timestamp, settings: LimitSettings) -> Self {
         Self {
-            borrower: LimitBorrower::new(node, started_at, settings),
+            borrower: LimitClient::new(node, started_at, settings),
             settings,
             waiting: BTreeMap::new(),
             waiting_count: 0,
@@ -179,7 +181,7 @@
     LimitCost::of_request(tokens)
 }
 
-fn push_sends(sends: Vec<LimitSend>, actions: &mut Vec<DispatchAction>) {
+fn push_sends(sends: Vec<LimitEnvelope>, actions: &mut Vec<DispatchAction>) {
     actions.extend(sends.into_iter().map(DispatchAction::SendLimit));
 }
 
--- a/crates/core/src/limit/bank_account.rs
+++ b/crates/core/src/limit/allocator_account.rs
@@ -7,7 +7,7 @@
 use crate::identity::NodeName;
 use crate::timestamp::Timestamp;
 
-use super::{LimitAsk, LimitCost, LimitSettings, TokenBucket};
+use super::{LimitCost, LimitRequest, LimitSettings, TokenBucket};
 
 /// Tickets for a second of traffic may be handed out at once.
 const BURST: Duration = Duration::from_secs(1);
@@ -15,31 +15,31 @@
 
 /// What a bank knows of one borrower.
 #[derive(Debug, Clone, Default)]
-struct Borrower {
+struct ClientRecord {
     serial: u64,
     streams: u64,
-    heard_at: Timestamp,
+    reported_at: Timestamp,
 }
 
 /// A tenant's account at a bank: its part of the limits, and who holds streams.
 #[derive(Debug, Clone)]
-pub(super) struct BankAccount {
+pub(super) struct AllocatorAccount {
     requests: Option<TokenBucket>,
     tokens: Option<TokenBucket>,
     streams: Option<u64>,
-    borrowers: BTreeMap<NodeName, Borrower>,
+    clients: BTreeMap<NodeName, ClientRecord>,
     opened_at: Timestamp,
     used_at: Timestamp,
 }
 
-impl BankAccount {
+impl AllocatorAccount {
     /// An account of a bank that has handed out no ticket of it since `opened_at`.
     pub fn new(opened_at: Timestamp, now: Timestamp) -> Self {
         Self {
             requests: None,
             tokens: None,
             streams: None,
-            borrowers: BTreeMap::new(),
+            clients: BTreeMap::new(),
             opened_at,
             used_at: now,
         }
@@ -68,15 +68,20 @@
     }
 
     /// Notes what the ask says of running streams; whether it is newer than all before.
-    pub fn note(&mut self, from: &NodeName, ask: &LimitAsk, now: Timestamp) -> bool {
+    pub fn record_report(
+        &mut self,
+        from: &NodeName,
+        request: &LimitRequest,
+        now: Timestamp,
+    ) -> bool {
         self.used_at = now;
-        let borrower = self.borrowers.entry(from.clone()).or_default();
-        if ask.serial <= borrower.serial {
+        let client = self.clients.entry(from.clone()).or_default();
+        if request.serial <= client.serial {
             return false;
         }
-        borrower.serial = ask.serial;
-        borrower.streams = ask.streams_held;
-        borrower.heard_at = now;
+        client.serial = request.serial;
+        client.streams = request.streams_held;
+        client.reported_at = now;
         true
     }
 
@@ -84,19 +89,19 @@
     pub fn grant(
         &mut self,
         from: &NodeName,
-        ask: &LimitAsk,
+        request: &LimitRequest,
         settings: &LimitSettings,
         now: Timestamp,
     ) -> LimitCost {
-        self.forget_silent(settings, now);
-        let wanted = &ask.wanted;
+        self.remove_silent(settings, now);
+        let wanted = &request.wanted;
         let streams = self.grant_streams(from, wanted.streams, settings, now);
         let requests = match &mut self.requests {
             Some(bucket) => bucket.take(wanted.requests, now),
             None => wanted.requests,
         };
         let tokens = match &mut self.tokens {
-            Some(bucket) => bucket.take_at_least(ask.least_tokens, wanted.tokens, now),
+            Some(bucket) => bucket.take_at_least(request.min_tokens, wanted.tokens, now),
             None => wanted.tokens,
         };
         LimitCost {
@@ -120,17 +125,17 @@
         if now < self.opened_at.after(settings.renew_interval * 2) {
             return 0;
         }
-        let out: u64 = self.borrowers.values().map(|known| known.streams).sum();
-        let granted = wanted.min(limit.saturating_sub(out));
-        if let Some(borrower) = self.borrowers.get_mut(from) {
-            borrower.streams += granted;
+        let allocated: u64 = self.clients.values().map(|known| known.streams).sum();
+        let granted = wanted.min(limit.saturating_sub(allocated));
+        if let Some(client) = self.clients.get_mut(from) {
+            client.streams += granted;
         }
         granted
     }
 
-    fn forget_silent(&mut self, settings: &LimitSettings, now: Timestamp) {
-        self.borrowers
-            .retain(|_, borrower| now < borrower.heard_at.after(settings.stream_hold));
+    fn remove_silent(&mut self, settings: &LimitSettings, now: Timestamp) {
+        self.clients
+            .retain(|_, client| now < client.reported_at.after(settings.stream_retention));
     }
 }
 
--- a/crates/core/src/limit/bank_authority.rs
+++ b/crates/core/src/limit/allocator_authority.rs
@@ -13,27 +13,30 @@
 /// A bank hands out tickets only while a majority of its group has lately confirmed its epoch. So
 /// a bank that was replaced but can't hear of it stops, and after as long its successor may start.
 #[derive(Debug, Clone)]
-pub(super) struct BankAuthority {
+pub(super) struct AllocatorAuthority {
     group: KeeperGroup,
     /// Banks of the epoch before, whose shares still bound this bank's until the time, and for
     /// good while the change is not settled. Without banks nothing is handed out.
     bounded_by: Option<(Vec<NodeName>, Option<Timestamp>)>,
     round: u64,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
     confirmed_by: BTreeSet<NodeName>,
     valid_until: Timestamp,
 }
 
-impl BankAuthority {
+impl AllocatorAuthority {
     /// Authority of a process that sees `group` for the first time since its start.
     pub fn new(group: KeeperGroup, settings: &LimitSettings, now: Timestamp) -> Self {
         let first = group.previous.is_empty();
-        let banks = group.previous.clone();
+        let allocators = group.previous.clone();
         Self {
             group,
-            bounded_by: Some((banks, first.then(|| now.after(settings.authority_validity)))),
+            bounded_by: Some((
+                allocators,
+                first.then(|| now.after(settings.authority_validity)),
+            )),
             round: 0,
-            asked_at: Timestamp::ZERO,
+            requested_at: Timestamp::ZERO,
             confirmed_by: BTreeSet::new(),
             valid_until: Timestamp::ZERO,
         }
@@ -45,14 +48,14 @@
             return;
         }
         let before = std::mem::replace(&mut self.group, group.clone());
-        let banks_before = if group.epoch == before.epoch {
+        let previous_allocators = if group.epoch == before.epoch {
             before.previous
         } else {
             before.keepers
         };
         let settled = group.previous.is_empty();
         let until = settled.then(|| now.after(settings.authority_validity));
-        self.bounded_by = Some((banks_before, until));
+        self.bounded_by = Some((previous_allocators, until));
         if group.epoch != before.epoch {
             self.valid_until = Timestamp::ZERO;
             self.confirmed_by.clear();
@@ -79,12 +82,12 @@
     }
 
     /// Sets of banks whose smallest share counts.
-    pub fn bank_sets(&self, now: Timestamp) -> Vec<&[NodeName]> {
+    pub fn allocator_sets(&self, now: Timestamp) -> Vec<&[NodeName]> {
         let mut sets = vec![self.group.keepers.as_slice()];
-        if let Some((banks, until)) = &self.bounded_by
+        if let Some((allocators, until)) = &self.bounded_by
             && until.is_none_or(|until| now < until)
         {
-            sets.push(banks);
+            sets.push(allocators);
         }
         sets
     }
@@ -98,11 +101,11 @@
     ) -> Vec<NodeName> {
         let half = settings.authority_validity / 2;
         let fresh = now < self.valid_until.before(half);
-        if fresh || now < self.asked_at.after(half / 4) {
+        if fresh || now < self.requested_at.after(half / 4) {
             return Vec::new();
         }
         self.round += 1;
-        self.asked_at = now;
+        self.requested_at = now;
         self.confirmed_by.clear();
         self.confirm(own_name.clone(), self.group.epoch, self.round, settings);
         self.voters()
@@ -124,7 +127,7 @@
         }
         self.confirmed_by.insert(from);
         if self.confirmed_by.len() > self.voters().len() / 2 {
-            self.valid_until = self.asked_at.after(settings.authority_validity);
+            self.valid_until = self.requested_at.after(settings.authority_validity);
         }
     }
 
--- a/crates/core/src/limit/share.rs
+++ b/crates/core/src/limit/allocator_share.rs
@@ -6,7 +6,7 @@
 use crate::identity::{NodeName, TenantName};
 
 /// Position and group of the banks of a tenant; `None` while there are no keepers.
-pub fn bank_group<'a>(
+pub fn allocator_group<'a>(
     roster: &'a ClaimRoster,
     tenant: &TenantName,
 ) -> Option<(usize, &'a KeeperGroup)> {
@@ -18,22 +18,27 @@
     Some((index, &roster.groups[index]))
 }
 
-/// The part of `limit` that `bank` hands out, one of `banks`: equal parts, the remainder one each
+/// The part of `limit` that `allocator` hands out, one of `allocators`: equal parts, the remainder one each
 /// to the first by a hash that differs between tenants. The parts add up to the limit.
-pub fn share_of(limit: u64, banks: &[NodeName], bank: &NodeName, tenant: &TenantName) -> u64 {
-    let count = banks.len() as u64;
-    if !banks.contains(bank) {
+pub fn allocator_share(
+    limit: u64,
+    allocators: &[NodeName],
+    allocator: &NodeName,
+    tenant: &TenantName,
+) -> u64 {
+    let count = allocators.len() as u64;
+    if !allocators.contains(allocator) {
         return 0;
     }
-    let rank = banks
+    let rank = allocators
         .iter()
-        .filter(|other| order(other, tenant) < order(bank, tenant))
+        .filter(|other| hash_order(other, tenant) < hash_order(allocator, tenant))
         .count() as u64;
     limit / count + u64::from(rank < limit % count)
 }
 
-fn order<'a>(bank: &'a NodeName, tenant: &TenantName) -> (u64, &'a NodeName) {
+fn hash_order<'a>(allocator: &'a NodeName, tenant: &TenantName) -> (u64, &'a NodeName) {
     let seed = xxh3_64(tenant.as_str().as_bytes());
-    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(bank.as_str().as_bytes(), seed);
-    (hash, bank)
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(allocator.as_str().as_bytes(), seed);
+    (hash, allocator)
 }
--- a/crates/core/src/limit/borrower_account.rs
+++ b/crates/core/src/limit/client_account.rs
@@ -11,26 +11,26 @@
 
 /// An ask on its way.
 #[derive(Debug, Clone)]
-pub(super) struct OpenAsk {
-    pub bank: NodeName,
+pub(super) struct PendingRequest {
+    pub allocator: NodeName,
     pub serial: u64,
     pub wanted: LimitCost,
-    pub least_tokens: u64,
-    pub asked_at: Timestamp,
+    pub min_tokens: u64,
+    pub requested_at: Timestamp,
     /// Banks still to be asked when this one has too little.
-    pub next_banks: Vec<NodeName>,
+    pub next_allocators: Vec<NodeName>,
 }
 
 /// A tenant's tickets in one router process.
 #[derive(Debug, Clone, Default)]
-pub(super) struct BorrowerAccount {
+pub(super) struct ClientAccount {
     requests: u64,
     tokens: u64,
-    tickets_until: Timestamp,
+    permits_until: Timestamp,
     /// Streams that may run, by the bank that counts them.
     pub streams_held: BTreeMap<NodeName, u64>,
     pub streams_running: u64,
-    pub open: Option<OpenAsk>,
+    pub pending: Option<PendingRequest>,
     pub renew_at: Timestamp,
     pub denied_until: Timestamp,
     /// Demand, also refused, of the running second and of the one before.
@@ -41,8 +41,8 @@
     pub used_at: Timestamp,
 }
 
-impl BorrowerAccount {
-    pub fn note_demand(&mut self, cost: &LimitCost, settings: &LimitSettings, now: Timestamp) {
+impl ClientAccount {
+    pub fn record_demand(&mut self, cost: &LimitCost, settings: &LimitSettings, now: Timestamp) {
         self.used_at = now;
         let window = settings.prefetch;
         if now >= self.demand_since.after(window) {
@@ -57,8 +57,8 @@
     }
 
     /// Drops tickets whose time is over.
-    pub fn drop_lapsed(&mut self, now: Timestamp) {
-        if now >= self.tickets_until {
+    pub fn drop_expired(&mut self, now: Timestamp) {
+        if now >= self.permits_until {
             self.requests = 0;
             self.tokens = 0;
         }
@@ -66,7 +66,7 @@
 
     /// Takes tickets for a request, if all are there.
     pub fn spend(&mut self, limits: &TenantLimits, cost: &LimitCost, now: Timestamp) -> bool {
-        self.drop_lapsed(now);
+        self.drop_expired(now);
         let requests_short = limits.requests_per_second.is_some() && self.requests < cost.requests;
         let tokens_short = limits.tokens_per_second.is_some() && self.tokens < cost.tokens;
         let streams_short = limits.concurrent_streams.is_some()
@@ -112,20 +112,20 @@
         wanted
     }
 
-    /// Adds granted tickets; they lapse `validity` after `asked_at`.
+    /// Adds granted tickets; they lapse `validity` after `requested_at`.
     pub fn deposit(
         &mut self,
-        bank: &NodeName,
+        allocator: &NodeName,
         granted: &LimitCost,
-        asked_at: Timestamp,
+        requested_at: Timestamp,
         validity: Duration,
     ) {
-        let until = asked_at.after(validity);
-        let has_tickets = self.requests > 0 || self.tokens > 0;
+        let until = requested_at.after(validity);
+        let has_permits = self.requests > 0 || self.tokens > 0;
         if granted.requests > 0 || granted.tokens > 0 {
             // Older tickets must not outlive their time by those that come after.
-            self.tickets_until = if has_tickets {
-                self.tickets_until.min(until)
+            self.permits_until = if has_permits {
+                self.permits_until.min(until)
             } else {
                 until
             };
@@ -133,12 +133,12 @@
         self.requests += granted.requests;
         self.tokens += granted.tokens;
         if granted.streams > 0 {
-            *self.streams_held.entry(bank.clone()).or_default() += granted.streams;
+            *self.streams_held.entry(allocator.clone()).or_default() += granted.streams;
         }
     }
 
     /// Gives back streams that don't run to the banks; the next ask tells them.
-    pub fn trim_streams(&mut self) {
+    pub fn release_spare_streams(&mut self) {
         let mut spare = self.held().saturating_sub(self.streams_running);
         for held in self.streams_held.values_mut() {
             let given_back = spare.min(*held);
@@ -147,18 +147,18 @@
         }
     }
 
-    /// Lets `heir` count the streams of banks that are none any more.
-    pub fn reassign(&mut self, banks: &[NodeName], heir: &NodeName) {
-        let mut orphans = 0;
-        self.streams_held.retain(|bank, held| {
-            let stays = banks.contains(bank);
-            if !stays {
-                orphans += *held;
+    /// Lets `successor` count the streams of banks that are none any more.
+    pub fn reassign(&mut self, allocators: &[NodeName], successor: &NodeName) {
+        let mut orphaned = 0;
+        self.streams_held.retain(|allocator, held| {
+            let is_kept = allocators.contains(allocator);
+            if !is_kept {
+                orphaned += *held;
             }
-            stays
+            is_kept
         });
-        if orphans > 0 {
-            *self.streams_held.entry(heir.clone()).or_default() += orphans;
+        if orphaned > 0 {
+            *self.streams_held.entry(successor.clone()).or_default() += orphaned;
         }
     }
 
--- a/crates/core/src/limit/limit_bank.rs
+++ b/crates/core/src/limit/limit_allocator.rs
@@ -8,40 +8,40 @@
 use crate::identity::{NodeName, TenantName};
 use crate::timestamp::Timestamp;
 
-use super::bank_account::BankAccount;
-use super::bank_authority::BankAuthority;
+use super::allocator_account::AllocatorAccount;
+use super::allocator_authority::AllocatorAuthority;
 use super::{
-    LimitAsk, LimitBankEvent, LimitCost, LimitGrant, LimitMessage, LimitSend, LimitSettings,
-    bank_group, share_of,
+    LimitAllocatorEvent, LimitCost, LimitEnvelope, LimitGrant, LimitMessage, LimitRequest,
+    LimitSettings, allocator_group, allocator_share,
 };
 
 /// An account that nobody asked of for so long is forgotten; longer than streams are held.
-const IDLE_ACCOUNT: Duration = Duration::from_secs(1_200);
+const IDLE_ACCOUNT_RETENTION: Duration = Duration::from_secs(1_200);
 
 /// Hands out tickets of this process's part of the limits of some tenants.
 ///
 /// Invariant: over any time of w seconds the banks of a tenant together hand out at most its limit
 /// for w + 1 seconds, and one request and one prompt more each.
 #[derive(Debug, Clone)]
-pub struct LimitBank {
+pub struct LimitAllocator {
     name: NodeName,
     settings: LimitSettings,
     catalog: Arc<Catalog>,
-    authorities: BTreeMap<usize, BankAuthority>,
-    accounts: BTreeMap<TenantName, BankAccount>,
+    authorities: BTreeMap<usize, AllocatorAuthority>,
+    accounts: BTreeMap<TenantName, AllocatorAccount>,
     /// Asks that wait until a majority of banks has confirmed this one.
-    waiting: Vec<WaitingAsk>,
-    forget_at: Timestamp,
+    waiting: Vec<WaitingRequest>,
+    next_cleanup_at: Timestamp,
 }
 
 #[derive(Debug, Clone)]
-struct WaitingAsk {
+struct WaitingRequest {
     from: NodeName,
-    ask: LimitAsk,
-    useless_at: Timestamp,
+    request: LimitRequest,
+    expires_at: Timestamp,
 }
 
-impl LimitBank {
+impl LimitAllocator {
     /// A bank in the process `name`.
     pub fn new(name: NodeName, settings: LimitSettings) -> Self {
         Self {
@@ -51,7 +51,7 @@
             authorities: BTreeMap::new(),
             accounts: BTreeMap::new(),
             waiting: Vec::new(),
-            forget_at: Timestamp::ZERO,
+            next_cleanup_at: Timestamp::ZERO,
         }
     }
 
@@ -61,10 +61,17 @@
     }
 
     /// Takes an event and appends the messages to send.
-    pub fn handle(&mut self, event: LimitBankEvent, now: Timestamp, sends: &mut Vec<LimitSend>) {
+    pub fn handle(
+        &mut self,
+        event: LimitAllocatorEvent,
+        now: Timestamp,
+        sends: &mut Vec<LimitEnvelope>,
+    ) {
         match event {
-            LimitBankEvent::Received { from, message } => self.receive(from, message, now, sends),
-            LimitBankEvent::CatalogChanged(catalog) => self.adopt(catalog, now),
+            LimitAllocatorEvent::Received { from, message } => {
+                self.receive(from, message, now, sends)
+            }
+            LimitAllocatorEvent::CatalogChanged(catalog) => self.adopt(catalog, now),
         }
     }
 
@@ -79,7 +86,7 @@
                     authority.adopt(group, &self.settings, now);
                     authority
                 }
-                None => BankAuthority::new(group.clone(), &self.settings, now),
+                None => AllocatorAuthority::new(group.clone(), &self.settings, now),
             };
             authorities.insert(index, authority);
         }
@@ -92,11 +99,13 @@
         from: NodeName,
         message: LimitMessage,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) {
         match message {
-            LimitMessage::Ask(ask) => self.take_ask(from, ask, now, sends),
-            LimitMessage::Ping { group, round, .. } => self.pong(from, group, round, sends),
+            LimitMessage::Request(request) => self.receive_request(from, request, now, sends),
+            LimitMessage::Ping { group, round, .. } => {
+                self.confirm_epoch(from, group, round, sends)
+            }
             LimitMessage::Pong {
                 group,
                 epoch,
@@ -112,10 +121,16 @@
     }
 
     /// A process that left the group answers as well: its word that the epoch moved on counts.
-    fn pong(&self, from: NodeName, group: usize, round: u64, sends: &mut Vec<LimitSend>) {
+    fn confirm_epoch(
+        &self,
+        from: NodeName,
+        group: usize,
+        round: u64,
+        sends: &mut Vec<LimitEnvelope>,
+    ) {
         if let Some(known) = self.catalog.claim_roster.groups.get(group) {
             let epoch = known.epoch;
-            sends.push(LimitSend {
+            sends.push(LimitEnvelope {
                 to: from,
                 message: LimitMessage::Pong {
                     group,
@@ -126,37 +141,38 @@
         }
     }
 
-    fn take_ask(
+    fn receive_request(
         &mut self,
         from: NodeName,
-        ask: LimitAsk,
+        request: LimitRequest,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) {
-        self.forget_idle(now);
-        let group = bank_group(&self.catalog.claim_roster, &ask.tenant).map(|(index, _)| index);
+        self.remove_idle(now);
+        let group =
+            allocator_group(&self.catalog.claim_roster, &request.tenant).map(|(index, _)| index);
         if let Some(index) = group {
             self.confirm_authority(index, now, sends);
         }
-        if self.is_authorized(&ask.tenant, now) || ask.wanted.is_zero() {
-            self.answer(from, &ask, now, sends);
+        if self.is_authorized(&request.tenant, now) || request.wanted.is_zero() {
+            self.answer(from, &request, now, sends);
             return;
         }
-        let useless_at = now.after(self.settings.ask_timeout);
-        self.waiting.push(WaitingAsk {
+        let expires_at = now.after(self.settings.request_timeout);
+        self.waiting.push(WaitingRequest {
             from,
-            ask,
-            useless_at,
+            request,
+            expires_at,
         });
     }
 
-    fn answer_waiting(&mut self, now: Timestamp, sends: &mut Vec<LimitSend>) {
+    fn answer_waiting(&mut self, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
         for waiting in std::mem::take(&mut self.waiting) {
-            if now >= waiting.useless_at {
+            if now >= waiting.expires_at {
                 continue;
             }
-            if self.is_authorized(&waiting.ask.tenant, now) {
-                self.answer(waiting.from, &waiting.ask, now, sends);
+            if self.is_authorized(&waiting.request.tenant, now) {
+                self.answer(waiting.from, &waiting.request, now, sends);
             } else {
                 self.waiting.push(waiting);
             }
@@ -165,7 +181,7 @@
 
     /// Whether an ask can be answered now; one about a tenant that is not kept here always can.
     fn is_authorized(&self, tenant: &TenantName, now: Timestamp) -> bool {
-        bank_group(&self.catalog.claim_roster, tenant)
+        allocator_group(&self.catalog.claim_roster, tenant)
             .and_then(|(index, _)| self.authorities.get(&index))
             .is_none_or(|authority| authority.is_valid(now))
     }
@@ -173,54 +189,54 @@
     fn answer(
         &mut self,
         from: NodeName,
-        ask: &LimitAsk,
+        request: &LimitRequest,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) {
-        let granted = self.grant(&from, ask, now);
+        let granted = self.grant(&from, request, now);
         let grant = LimitGrant {
-            tenant: ask.tenant.clone(),
-            serial: ask.serial,
+            tenant: request.tenant.clone(),
+            serial: request.serial,
             granted,
         };
-        sends.push(LimitSend {
+        sends.push(LimitEnvelope {
             to: from,
             message: grant.into(),
         });
     }
 
-    fn grant(&mut self, from: &NodeName, ask: &LimitAsk, now: Timestamp) -> LimitCost {
+    fn grant(&mut self, from: &NodeName, request: &LimitRequest, now: Timestamp) -> LimitCost {
         let nothing = LimitCost::default();
-        let Some(tenant) = self.catalog.tenants.get(&ask.tenant) else {
+        let Some(tenant) = self.catalog.tenants.get(&request.tenant) else {
             return nothing;
         };
         let limits = tenant.limits;
-        let Some((index, _)) = bank_group(&self.catalog.claim_roster, &ask.tenant) else {
+        let Some((index, _)) = allocator_group(&self.catalog.claim_roster, &request.tenant) else {
             return nothing;
         };
         if !self.authorities.contains_key(&index) {
             return nothing;
         }
-        self.open_account(index, &ask.tenant, &limits, now);
+        self.open_account(index, &request.tenant, &limits, now);
         let valid = self.authorities[&index].is_valid(now);
-        let Some(account) = self.accounts.get_mut(&ask.tenant) else {
+        let Some(account) = self.accounts.get_mut(&request.tenant) else {
             return nothing;
         };
-        let newer = account.note(from, ask, now);
+        let newer = account.record_report(from, request, now);
         if newer && valid {
-            account.grant(from, ask, &self.settings, now)
+            account.grant(from, request, &self.settings, now)
         } else {
             nothing
         }
     }
 
-    fn confirm_authority(&mut self, index: usize, now: Timestamp, sends: &mut Vec<LimitSend>) {
+    fn confirm_authority(&mut self, index: usize, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
         let Some(authority) = self.authorities.get_mut(&index) else {
             return;
         };
-        let banks = authority.start_round(&self.name, &self.settings, now);
+        let allocators = authority.start_round(&self.name, &self.settings, now);
         let (epoch, round) = (authority.epoch(), authority.round());
-        sends.extend(banks.into_iter().map(|to| LimitSend {
+        sends.extend(allocators.into_iter().map(|to| LimitEnvelope {
             to,
             message: LimitMessage::Ping {
                 group: index,
@@ -237,27 +253,27 @@
         limits: &TenantLimits,
         now: Timestamp,
     ) {
-        let sets = self.authorities[&index].bank_sets(now);
+        let sets = self.authorities[&index].allocator_sets(now);
         let own_name = &self.name;
         let share = |limit: u64| {
             sets.iter()
-                .map(|banks| share_of(limit, banks, own_name, tenant))
+                .map(|allocators| allocator_share(limit, allocators, own_name, tenant))
                 .min()
                 .unwrap_or_default()
         };
         let opened_at = self.authorities[&index].unbounded_since(now);
         self.accounts
             .entry(tenant.clone())
-            .or_insert_with(|| BankAccount::new(opened_at, now))
+            .or_insert_with(|| AllocatorAccount::new(opened_at, now))
             .set_limits(limits, share, now);
     }
 
-    fn forget_idle(&mut self, now: Timestamp) {
-        if now < self.forget_at {
+    fn remove_idle(&mut self, now: Timestamp) {
+        if now < self.next_cleanup_at {
             return;
         }
-        self.forget_at = now.after(IDLE_ACCOUNT / 4);
+        self.next_cleanup_at = now.after(IDLE_ACCOUNT_RETENTION / 4);
         self.accounts
-            .retain(|_, account| now < account.used_at().after(IDLE_ACCOUNT));
+            .retain(|_, account| now < account.used_at().after(IDLE_ACCOUNT_RETENTION));
     }
 }
--- a/crates/core/src/limit/limit_bank_event.rs
+++ b/crates/core/src/limit/limit_allocator_event.rs
@@ -7,9 +7,9 @@
 
 use super::LimitMessage;
 
-/// What happens to a [`super::LimitBank`].
+/// What happens to a [`super::LimitAllocator`].
 #[derive(Debug, Clone)]
-pub enum LimitBankEvent {
+pub enum LimitAllocatorEvent {
     /// A message of another process, or of this one, arrived.
     Received {
         /// The sender.
--- a/crates/core/src/limit/limit_borrower.rs
+++ b/crates/core/src/limit/limit_client.rs
@@ -10,27 +10,30 @@
 use crate::identity::{NodeName, TenantName};
 use crate::timestamp::Timestamp;
 
-use super::borrower_account::{BorrowerAccount, OpenAsk};
-use super::{LimitAsk, LimitCost, LimitDecision, LimitGrant, LimitSend, LimitSettings, bank_group};
+use super::client_account::{ClientAccount, PendingRequest};
+use super::{
+    LimitCost, LimitDecision, LimitEnvelope, LimitGrant, LimitRequest, LimitSettings,
+    allocator_group,
+};
 
 /// A tenant without traffic for so long is forgotten.
-const IDLE_ACCOUNT: Duration = Duration::from_secs(60);
+const IDLE_ACCOUNT_RETENTION: Duration = Duration::from_secs(60);
 /// Banks are told for so long after the last request that no stream runs: reports may be lost.
-const REPORTS_WHEN_IDLE: Duration = Duration::from_secs(10);
+const IDLE_REPORT_TIME: Duration = Duration::from_secs(10);
 
 /// Spends, in one router process, only tickets that banks have handed out to it.
 ///
 /// Asks nothing for tenants without traffic or without limits.
 #[derive(Debug, Clone)]
-pub struct LimitBorrower {
+pub struct LimitClient {
     name: NodeName,
     settings: LimitSettings,
     catalog: Arc<Catalog>,
-    accounts: BTreeMap<TenantName, BorrowerAccount>,
+    accounts: BTreeMap<TenantName, ClientAccount>,
     last_serial: u64,
 }
 
-impl LimitBorrower {
+impl LimitClient {
     /// A borrower in the process `name`; `started_at` makes its asks newer than those of an
     /// earlier process of the name.
     pub fn new(name: NodeName, started_at: Timestamp, settings: LimitSettings) -> Self {
@@ -48,9 +51,11 @@
         self.catalog = catalog;
         let tenants: Vec<TenantName> = self.accounts.keys().cloned().collect();
         for tenant in tenants {
-            let banks = self.banks(&tenant);
-            if let (Some(heir), Some(account)) = (banks.first(), self.accounts.get_mut(&tenant)) {
-                account.reassign(&banks, heir);
+            let allocators = self.allocators(&tenant);
+            if let (Some(successor), Some(account)) =
+                (allocators.first(), self.accounts.get_mut(&tenant))
+            {
+                account.reassign(&allocators, successor);
             }
         }
     }
@@ -61,14 +66,14 @@
         tenant: &TenantName,
         cost: &LimitCost,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) -> LimitDecision {
         let Some(limits) = self.limits(tenant) else {
             return LimitDecision::Allowed;
         };
         let account = self.accounts.entry(tenant.clone()).or_default();
-        account.note_demand(cost, &self.settings, now);
-        self.spend_or_ask(tenant, &limits, cost, now, sends)
+        account.record_demand(cost, &self.settings, now);
+        self.spend_or_request(tenant, &limits, cost, now, sends)
     }
 
     /// Tries again for a request that was told to wait, without counting its demand again.
@@ -77,27 +82,27 @@
         tenant: &TenantName,
         cost: &LimitCost,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) -> LimitDecision {
         let Some(limits) = self.limits(tenant) else {
             return LimitDecision::Allowed;
         };
-        self.spend_or_ask(tenant, &limits, cost, now, sends)
+        self.spend_or_request(tenant, &limits, cost, now, sends)
     }
 
-    fn spend_or_ask(
+    fn spend_or_request(
         &mut self,
         tenant: &TenantName,
         limits: &TenantLimits,
         cost: &LimitCost,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) -> LimitDecision {
         let account = self.accounts.entry(tenant.clone()).or_default();
         if account.spend(limits, cost, now) {
             return LimitDecision::Allowed;
         }
-        if account.open.is_some() {
+        if account.pending.is_some() {
             return LimitDecision::Waiting;
         }
         if now < account.denied_until {
@@ -105,12 +110,12 @@
             return LimitDecision::Denied { retry_after };
         }
         let wanted = account.wanted(limits, cost);
-        let banks = self.banks(tenant);
-        if banks.is_empty() {
+        let allocators = self.allocators(tenant);
+        if allocators.is_empty() {
             let retry_after = self.settings.retry_after;
             return LimitDecision::Denied { retry_after };
         }
-        self.ask(tenant, wanted, cost.tokens, banks, now, sends);
+        self.request(tenant, wanted, cost.tokens, allocators, now, sends);
         LimitDecision::Waiting
     }
 
@@ -127,46 +132,48 @@
         from: &NodeName,
         grant: &LimitGrant,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) {
-        let validity = self.settings.ticket_validity;
+        let validity = self.settings.permit_validity;
         let Some(account) = self.accounts.get_mut(&grant.tenant) else {
             return;
         };
-        let answers_open = account
-            .open
+        let answers_pending = account
+            .pending
             .as_ref()
-            .is_some_and(|open| open.serial == grant.serial && open.bank == *from);
+            .is_some_and(|pending| pending.serial == grant.serial && pending.allocator == *from);
         // Any other grant is void: its bank may have counted these streams as given back.
-        if !answers_open {
+        if !answers_pending {
             return;
         }
-        let Some(open) = account.open.take() else {
+        let Some(pending) = account.pending.take() else {
             return;
         };
-        account.deposit(from, &grant.granted, open.asked_at, validity);
-        let still_wanted = open.wanted.minus(&grant.granted);
-        let least = open.least_tokens.saturating_sub(grant.granted.tokens);
-        self.ask_next(
+        account.deposit(from, &grant.granted, pending.requested_at, validity);
+        let still_wanted = pending.wanted.minus(&grant.granted);
+        let min_tokens = pending.min_tokens.saturating_sub(grant.granted.tokens);
+        self.request_next(
             &grant.tenant,
             still_wanted,
-            least,
-            open.next_banks,
+            min_tokens,
+            pending.next_allocators,
             now,
             sends,
         );
     }
 
     /// Lets time pass: gives up on banks that don't answer, and reports running streams.
-    pub fn tick(&mut self, now: Timestamp, sends: &mut Vec<LimitSend>) {
+    pub fn tick(&mut self, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
         let tenants: Vec<TenantName> = self.accounts.keys().cloned().collect();
         for tenant in &tenants {
-            self.expire_ask(tenant, now, sends);
+            self.expire_request(tenant, now, sends);
             self.renew(tenant, now, sends);
         }
         self.accounts.retain(|_, account| {
             let holds = account.streams_running > 0 || account.held() > 0;
-            holds || account.open.is_some() || now < account.used_at.after(IDLE_ACCOUNT)
+            holds
+                || account.pending.is_some()
+                || now < account.used_at.after(IDLE_ACCOUNT_RETENTION)
         });
     }
 
@@ -176,130 +183,146 @@
     }
 
     /// Banks of a tenant, the first one to ask first; each process starts at another.
-    fn banks(&self, tenant: &TenantName) -> Vec<NodeName> {
+    fn allocators(&self, tenant: &TenantName) -> Vec<NodeName> {
         let roster = &self.catalog.claim_roster;
-        let Some((_, group)) = bank_group(roster, tenant) else {
+        let Some((_, group)) = allocator_group(roster, tenant) else {
             return Vec::new();
         };
-        let mut banks = group.keepers.clone();
+        let mut allocators = group.keepers.clone();
         let seed = xxh3_64_with_seed(self.name.as_str().as_bytes(), 0);
-        banks.sort_by_key(|bank| xxh3_64_with_seed(bank.as_str().as_bytes(), seed));
-        banks
+        allocators.sort_by_key(|allocator| xxh3_64_with_seed(allocator.as_str().as_bytes(), seed));
+        allocators
     }
 
-    fn ask(
+    fn request(
         &mut self,
         tenant: &TenantName,
         wanted: LimitCost,
-        least_tokens: u64,
-        mut banks: Vec<NodeName>,
+        min_tokens: u64,
+        mut allocators: Vec<NodeName>,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) {
-        let bank = banks.remove(0);
+        let allocator = allocators.remove(0);
         self.last_serial += 1;
         let serial = self.last_serial;
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
-        let streams_held = account.streams_held.get(&bank).copied().unwrap_or_default();
-        account.open = Some(OpenAsk {
-            bank: bank.clone(),
+        let streams_held = account
+            .streams_held
+            .get(&allocator)
+            .copied()
+            .unwrap_or_default();
+        account.pending = Some(PendingRequest {
+            allocator: allocator.clone(),
             serial,
             wanted,
-            least_tokens,
-            asked_at: now,
-            next_banks: banks,
+            min_tokens,
+            requested_at: now,
+            next_allocators: allocators,
         });
-        let ask = LimitAsk {
+        let request = LimitRequest {
             tenant: tenant.clone(),
             serial,
             wanted,
-            least_tokens,
+            min_tokens,
             streams_held,
         };
-        sends.push(LimitSend {
-            to: bank,
-            message: ask.into(),
+        sends.push(LimitEnvelope {
+            to: allocator,
+            message: request.into(),
         });
     }
 
-    fn ask_next(
+    fn request_next(
         &mut self,
         tenant: &TenantName,
         wanted: LimitCost,
-        least_tokens: u64,
-        banks: Vec<NodeName>,
+        min_tokens: u64,
+        allocators: Vec<NodeName>,
         now: Timestamp,
-        sends: &mut Vec<LimitSend>,
+        sends: &mut Vec<LimitEnvelope>,
     ) {
         if wanted.is_zero() {
             return;
         }
-        if banks.is_empty() {
+        if allocators.is_empty() {
             let retry_after = self.settings.retry_after;
             if let Some(account) = self.accounts.get_mut(tenant) {
                 account.denied_until = now.after(retry_after);
             }
             return;
         }
-        self.ask(tenant, wanted, least_tokens, banks, now, sends);
+        self.request(tenant, wanted, min_tokens, allocators, now, sends);
     }
 
-    fn expire_ask(&mut self, tenant: &TenantName, now: Timestamp, sends: &mut Vec<LimitSend>) {
-        let timeout = self.settings.ask_timeout;
+    fn expire_request(
+        &mut self,
+        tenant: &TenantName,
+        now: Timestamp,
+        sends: &mut Vec<LimitEnvelope>,
+    ) {
+        let timeout = self.settings.request_timeout;
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
         let expired = account
-            .open
+            .pending
             .as_ref()
-            .is_some_and(|open| now >= open.asked_at.after(timeout));
+            .is_some_and(|pending| now >= pending.requested_at.after(timeout));
         if !expired {
             return;
         }
-        let Some(open) = account.open.take() else {
+        let Some(pending) = account.pending.take() else {
             return;
         };
-        if open.wanted.streams > 0 {
+        if pending.wanted.streams > 0 {
             // The bank may count streams whose grant was lost: reports correct it.
-            account.streams_held.entry(open.bank).or_default();
+            account.streams_held.entry(pending.allocator).or_default();
         }
-        let least = open.least_tokens;
-        self.ask_next(tenant, open.wanted, least, open.next_banks, now, sends);
+        let min_tokens = pending.min_tokens;
+        self.request_next(
+            tenant,
+            pending.wanted,
+            min_tokens,
+            pending.next_allocators,
+            now,
+            sends,
+        );
     }
 
     /// Reports, to every bank that counts streams of this process, how many it holds.
-    fn renew(&mut self, tenant: &TenantName, now: Timestamp, sends: &mut Vec<LimitSend>) {
+    fn renew(&mut self, tenant: &TenantName, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
         let renew_at = now.after(self.settings.renew_interval);
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
-        if account.streams_held.is_empty() || account.open.is_some() || now < account.renew_at {
+        if account.streams_held.is_empty() || account.pending.is_some() || now < account.renew_at {
             return;
         }
         account.renew_at = renew_at;
-        account.trim_streams();
+        account.release_spare_streams();
         let held: Vec<(NodeName, u64)> = account
             .streams_held
             .iter()
-            .map(|(bank, held)| (bank.clone(), *held))
+            .map(|(allocator, held)| (allocator.clone(), *held))
             .collect();
-        if now >= account.used_at.after(REPORTS_WHEN_IDLE) {
+        if now >= account.used_at.after(IDLE_REPORT_TIME) {
             account.streams_held.retain(|_, held| *held > 0);
         }
-        for (bank, streams_held) in held {
+        for (allocator, streams_held) in held {
             self.last_serial += 1;
-            let ask = LimitAsk {
+            let request = LimitRequest {
                 tenant: tenant.clone(),
                 serial: self.last_serial,
                 wanted: LimitCost::default(),
-                least_tokens: 0,
+                min_tokens: 0,
                 streams_held,
             };
-            sends.push(LimitSend {
-                to: bank,
-                message: ask.into(),
+            sends.push(LimitEnvelope {
+                to: allocator,
+                message: request.into(),
             });
         }
     }
--- a/crates/core/src/limit/limit_decision.rs
+++ b/crates/core/src/limit/limit_decision.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitDecision {
     /// It is, and was counted; a stream must be given back with
-    /// [`super::LimitBorrower::stream_ended`].
+    /// [`super::LimitClient::stream_ended`].
     Allowed,
     /// Tickets have been asked for; try again when a grant arrives or a few milliseconds later.
     Waiting,
--- a/crates/core/src/limit/limit_send.rs
+++ b/crates/core/src/limit/limit_envelope.rs
@@ -6,7 +6,7 @@
 
 /// A message to send to another router process (or to this one: a bank may be its own borrower).
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LimitSend {
+pub struct LimitEnvelope {
     /// The receiver.
     pub to: NodeName,
     /// The message.
--- a/crates/core/src/limit/limit_grant.rs
+++ b/crates/core/src/limit/limit_grant.rs
@@ -6,7 +6,7 @@
 
 use super::LimitCost;
 
-/// A bank's answer to a [`super::LimitAsk`].
+/// A bank's answer to a [`super::LimitRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitGrant {
     /// The tenant.
--- a/crates/core/src/limit/limit_message.rs
+++ b/crates/core/src/limit/limit_message.rs
@@ -3,14 +3,14 @@
 use derive_more::From;
 use serde::{Deserialize, Serialize};
 
-use super::{LimitAsk, LimitGrant};
+use super::{LimitGrant, LimitRequest};
 
 /// A message about limits between router processes.
 #[derive(Debug, Clone, PartialEq, Eq, From, Serialize, Deserialize)]
 pub enum LimitMessage {
     /// To a bank: tickets wanted.
     #[serde(rename = "a")]
-    Ask(LimitAsk),
+    Request(LimitRequest),
     /// From a bank: tickets granted.
     #[serde(rename = "g")]
     Grant(LimitGrant),
--- a/crates/core/src/limit/limit_ask.rs
+++ b/crates/core/src/limit/limit_request.rs
@@ -8,7 +8,7 @@
 
 /// Asks a bank for tickets of a tenant's limit, and says how many of its streams run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitAsk {
+pub struct LimitRequest {
     /// The tenant.
     #[serde(rename = "n")]
     pub tenant: TenantName,
@@ -20,7 +20,7 @@
     pub wanted: LimitCost,
     /// Tokens of the request that waits: fewer are of no use.
     #[serde(rename = "m", default)]
-    pub least_tokens: u64,
+    pub min_tokens: u64,
     /// Streams that the process holds of this bank; the bank's own count is corrected by it.
     #[serde(rename = "h", default)]
     pub streams_held: u64,
--- a/crates/core/src/limit/token_bucket.rs
+++ b/crates/core/src/limit/token_bucket.rs
@@ -58,20 +58,20 @@
         Some(self.filled_at.after(wait).max(now))
     }
 
-    /// Takes up to `wanted` whole tokens, but none if that is fewer than `least`; a full bucket
-    /// gives `least` even if it does not hold as many, and owes the rest.
-    pub fn take_at_least(&mut self, least: u64, wanted: u64, now: Timestamp) -> u64 {
+    /// Takes up to `wanted` whole tokens, but none if that is fewer than `minimum`; a full bucket
+    /// gives `minimum` even if it does not hold as many, and owes the rest.
+    pub fn take_at_least(&mut self, minimum: u64, wanted: u64, now: Timestamp) -> u64 {
         self.fill(now);
-        let needed = i128::from(least) * MICROS;
+        let needed = i128::from(minimum) * MICROS;
         if self.level >= needed {
-            return self.take(wanted.max(least), now);
+            return self.take(wanted.max(minimum), now);
         }
         let full = self.rate_milli > 0 && self.level >= self.capacity();
         if !full {
             return 0;
         }
         self.level -= needed;
-        least
+        minimum
     }
 
     fn capacity(&self) -> i128 {
--- a/crates/core/src/placement/cache_knowledge.rs
+++ b/crates/core/src/placement/cache_directory.rs
@@ -9,14 +9,14 @@
 
 /// Which engines were given which prefixes, learnt from this process's own requests; bounded.
 ///
-/// Each entry names the [`CacheEpoch`] it speaks of, and [`CacheKnowledge::holders`] leaves out
+/// Each entry names the [`CacheEpoch`] it speaks of, and [`CacheDirectory::holders`] leaves out
 /// those of any other, so nothing known of a dead incarnation or of other weights is ever used.
 #[derive(Debug, Clone)]
-pub struct CacheKnowledge {
+pub struct CacheDirectory {
     holders: GenerationalMap<Vec<Holder>>,
 }
 
-impl CacheKnowledge {
+impl CacheDirectory {
     /// Knows nothing; remembers up to twice `generation_size` prefixes.
     pub fn new(generation_size: usize) -> Self {
         Self {
@@ -39,7 +39,7 @@
         };
         for point in points.all() {
             let holders = self.holders.get_or_insert_with(point.hash, Vec::new);
-            put(holders, holder);
+            insert_holder(holders, holder);
         }
     }
 
@@ -67,7 +67,7 @@
     }
 }
 
-fn put(holders: &mut Vec<Holder>, holder: Holder) {
+fn insert_holder(holders: &mut Vec<Holder>, holder: Holder) {
     holders.retain(|known| known.engine != holder.engine);
     holders.push(holder);
     if holders.len() > HOLDERS_PER_PREFIX {
--- a/crates/core/src/placement/found_share.rs
+++ b/crates/core/src/placement/cache_hit_estimate.rs
@@ -14,15 +14,15 @@
 /// those of a single caller never are, so the least loaded engine may take them. Priority and
 /// length tell such kinds of work apart well enough.
 #[derive(Debug, Clone)]
-pub struct FoundShare {
+pub struct CacheHitEstimate {
     classes: [[f64; LENGTH_CLASSES]; 2],
 }
 
-impl FoundShare {
+impl CacheHitEstimate {
     /// Starts from a guess for all classes.
-    pub fn new(guess: f64) -> Self {
+    pub fn new(initial: f64) -> Self {
         Self {
-            classes: [[guess; LENGTH_CLASSES]; 2],
+            classes: [[initial; LENGTH_CLASSES]; 2],
         }
     }
 
@@ -33,8 +33,8 @@
 
     /// Takes the share that was found.
     pub fn observe(&mut self, priority: Priority, tokens: f64, share: f64) {
-        let known = &mut self.classes[priority as usize][length_class(tokens)];
-        *known += SAMPLE_WEIGHT * (share.clamp(0.0, 1.0) - *known);
+        let estimate = &mut self.classes[priority as usize][length_class(tokens)];
+        *estimate += SAMPLE_WEIGHT * (share.clamp(0.0, 1.0) - *estimate);
     }
 }
 
--- a/crates/core/src/placement/site_distance.rs
+++ b/crates/core/src/placement/data_centre_latency.rs
@@ -6,7 +6,7 @@
 use crate::identity::DataCentreName;
 
 /// Weight of a sample above the estimate: the estimate follows a longer way slowly.
-const RISE: f64 = 0.02;
+const RISE_WEIGHT: f64 = 0.02;
 
 /// Estimates how much longer the way to another data centre is than to the own one, from the times
 /// between requests and the heads of their answers.
@@ -14,13 +14,13 @@
 /// Each data centre keeps a slowly rising minimum. Only differences count, so that it does not
 /// matter whether engines send the head at once or with the first token.
 #[derive(Debug, Clone)]
-pub struct SiteDistance {
+pub struct DataCentreLatency {
     own: DataCentreName,
     assumed: Duration,
     head_seconds: BTreeMap<DataCentreName, f64>,
 }
 
-impl SiteDistance {
+impl DataCentreLatency {
     /// Nothing is measured yet: other data centres are assumed to be so far away.
     pub fn new(own: DataCentreName, assumed: Duration) -> Self {
         Self {
@@ -40,7 +40,7 @@
         if sample < *known {
             *known = sample;
         } else {
-            *known += RISE * (sample - *known);
+            *known += RISE_WEIGHT * (sample - *known);
         }
     }
 
--- a/crates/core/src/placement/site_preference.rs
+++ b/crates/core/src/placement/data_centre_preference.rs
@@ -16,7 +16,7 @@
 
 /// Which data centre a migration stage chooses for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SitePreference<'a> {
+pub struct DataCentrePreference<'a> {
     /// The data centre to serve it in.
     pub first: &'a DataCentreName,
     /// The data centre it must not overflow to: the target of a stage that was rolled back.
@@ -33,10 +33,10 @@
     tenant: &TenantName,
     prefix: &PrefixChain,
     fallback_key: &str,
-) -> Option<SitePreference<'a>> {
+) -> Option<DataCentrePreference<'a>> {
     let stage = catalog.stage_of(pool, tenant)?;
     if stage.state == StageState::RolledBack {
-        return Some(SitePreference {
+        return Some(DataCentrePreference {
             first: &stage.source,
             excluded: Some(&stage.target),
         });
@@ -44,7 +44,7 @@
     let key = split_key(prefix).unwrap_or_else(|| xxh3_64_with_seed(fallback_key.as_bytes(), 0));
     let slot = xxh3_64_with_seed(tenant.as_str().as_bytes(), key) % PERMILLE;
     let goes_to_target = slot < u64::from(catalog.stage_share(stage));
-    Some(SitePreference {
+    Some(DataCentrePreference {
         first: if goes_to_target {
             &stage.target
         } else {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,13 +1,15 @@
 //! Which back end should serve a prompt: a deterministic order of candidates that every process
 //! computes alike, refined by what answers tell of caches and queues.
 
+mod cache_directory;
 mod cache_epoch;
-mod cache_knowledge;
+mod cache_hit_estimate;
 mod candidate_order;
+mod data_centre_latency;
+mod data_centre_preference;
 mod decayed_rate;
 mod engine_key;
 mod fixed_hasher;
-mod found_share;
 mod generational_map;
 mod holder;
 mod placement_point;
@@ -15,19 +17,19 @@
 mod pool_index;
 mod pool_member;
 mod prefill_speed;
-mod prefix_heat;
+mod prefix_request_rates;
 mod prefix_width;
 mod rendezvous;
 mod retention;
-mod site_distance;
-mod site_preference;
 
+pub use cache_directory::CacheDirectory;
 pub use cache_epoch::CacheEpoch;
-pub use cache_knowledge::CacheKnowledge;
+pub use cache_hit_estimate::CacheHitEstimate;
 pub use candidate_order::CandidateOrder;
+pub use data_centre_latency::DataCentreLatency;
+pub use data_centre_preference::{DataCentrePreference, preferred_data_centre};
 pub use decayed_rate::DecayedRate;
 pub use engine_key::EngineKey;
-pub use found_share::FoundShare;
 pub use generational_map::GenerationalMap;
 pub use holder::Holder;
 pub use placement_point::PlacementPoint;
@@ -35,9 +37,7 @@
 pub use pool_index::PoolIndex;
 pub use pool_member::PoolMember;
 pub use prefill_speed::PrefillSpeed;
-pub use prefix_heat::PrefixHeat;
+pub use prefix_request_rates::PrefixRequestRates;
 pub use prefix_width::PrefixWidth;
 pub use rendezvous::{name_hash, rendezvous_score};
 pub use retention::Retention;
-pub use site_distance::SiteDistance;
-pub use site_preference::{SitePreference, preferred_data_centre};
--- a/crates/core/src/placement/placement_points.rs
+++ b/crates/core/src/placement/placement_points.rs
@@ -39,12 +39,12 @@
             // A single level: all but the whole prompt may be shared.
             shared = points.len().saturating_sub(1);
         }
-        let left_out = points.len().saturating_sub(OUTER_POINTS + INNER_POINTS);
-        if left_out > 0 {
-            points.drain(OUTER_POINTS..OUTER_POINTS + left_out);
+        let dropped_count = points.len().saturating_sub(OUTER_POINTS + INNER_POINTS);
+        if dropped_count > 0 {
+            points.drain(OUTER_POINTS..OUTER_POINTS + dropped_count);
         }
         let shared = shared
-            .saturating_sub(left_out)
+            .saturating_sub(dropped_count)
             .max(shared.min(OUTER_POINTS));
         Self { points, shared }
     }
--- a/crates/core/src/placement/pool_index.rs
+++ b/crates/core/src/placement/pool_index.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PoolIndex {
     members: Vec<PoolMember>,
-    sites: BTreeMap<DataCentreName, Range<usize>>,
+    data_centres: BTreeMap<DataCentreName, Range<usize>>,
     positions: BTreeMap<EngineKey, usize>,
 }
 
@@ -22,23 +22,26 @@
             let left = (&left.back_end.data_centre, &left.back_end.name);
             left.cmp(&(&right.back_end.data_centre, &right.back_end.name))
         });
-        let mut sites: BTreeMap<DataCentreName, Range<usize>> = BTreeMap::new();
+        let mut data_centres: BTreeMap<DataCentreName, Range<usize>> = BTreeMap::new();
         let mut positions = BTreeMap::new();
         for (position, member) in members.iter().enumerate() {
-            let site = member.back_end.data_centre.clone();
-            sites.entry(site).or_insert(position..position).end = position + 1;
+            let data_centre = member.back_end.data_centre.clone();
+            data_centres
+                .entry(data_centre)
+                .or_insert(position..position)
+                .end = position + 1;
             positions.insert(member.key, position);
         }
         Self {
             members,
-            sites,
+            data_centres,
             positions,
         }
     }
 
     /// Its data centres.
     pub fn data_centres(&self) -> impl Iterator<Item = &DataCentreName> {
-        self.sites.keys()
+        self.data_centres.keys()
     }
 
     /// All its back ends, by data centre and name.
@@ -53,7 +56,7 @@
     ) -> impl Iterator<Item = usize> + 'a {
         data_centres
             .iter()
-            .filter_map(|data_centre| self.sites.get(data_centre))
+            .filter_map(|data_centre| self.data_centres.get(data_centre))
             .flat_map(Range::clone)
     }
 
--- a/crates/core/src/placement/prefill_speed.rs
+++ b/crates/core/src/placement/prefill_speed.rs
@@ -1,9 +1,9 @@
 //! How fast engines prefill.
 
 /// Weight of a sample above the estimate.
-const RISE: f64 = 0.2;
+const RISE_WEIGHT: f64 = 0.2;
 /// Weight of a sample below the estimate. Most such samples show a busy engine, not a slow one.
-const FALL: f64 = 0.02;
+const FALL_WEIGHT: f64 = 0.02;
 
 /// Estimates how many prompt tokens an engine of a pool computes a second, from the time to the
 /// first token of requests that found it idle.
@@ -26,9 +26,9 @@
     /// Takes a measurement.
     pub fn observe(&mut self, tokens_per_second: f64) {
         let weight = if tokens_per_second > self.tokens_per_second {
-            RISE
+            RISE_WEIGHT
         } else {
-            FALL
+            FALL_WEIGHT
         };
         self.tokens_per_second += weight * (tokens_per_second - self.tokens_per_second);
     }
--- a/crates/core/src/placement/prefix_heat.rs
+++ b/crates/core/src/placement/prefix_request_rates.rs
@@ -8,12 +8,12 @@
 
 /// How often prefixes are asked for, as this process sees it; bounded.
 #[derive(Debug, Clone)]
-pub struct PrefixHeat {
+pub struct PrefixRequestRates {
     time_constant: Duration,
     rates: GenerationalMap<DecayedRate>,
 }
 
-impl PrefixHeat {
+impl PrefixRequestRates {
     /// Knows nothing; remembers up to twice `generation_size` prefixes.
     pub fn new(generation_size: usize, time_constant: Duration) -> Self {
         Self {
--- a/crates/core/src/placement/retention.rs
+++ b/crates/core/src/placement/retention.rs
@@ -11,10 +11,10 @@
 
 /// Engines evict within seconds, but a shorter estimate would forget, while caches are crowded, the
 /// very engines that requests must keep to for caches to recover.
-const SHORTEST: Duration = Duration::from_secs(10);
-const LONGEST: Duration = Duration::from_secs(600);
-const SHRINK: f64 = 0.8;
-const GROW: f64 = 1.25;
+const MIN_RETENTION: Duration = Duration::from_secs(10);
+const MAX_RETENTION: Duration = Duration::from_secs(600);
+const SHRINK_FACTOR: f64 = 0.8;
+const GROWTH_FACTOR: f64 = 1.25;
 
 impl Retention {
     /// Starts from a guess.
@@ -29,16 +29,16 @@
 
     /// A prefix last used so long ago was found.
     pub fn found(&mut self, age: Duration) {
-        if age.mul_f64(GROW) > self.duration {
-            self.duration = age.mul_f64(GROW).min(LONGEST);
+        if age.mul_f64(GROWTH_FACTOR) > self.duration {
+            self.duration = age.mul_f64(GROWTH_FACTOR).min(MAX_RETENTION);
         }
     }
 
     /// A prefix last used so long ago, expected to be cached, was gone.
     pub fn missed(&mut self, age: Duration) {
-        let shrunk = self.duration.mul_f64(SHRINK);
+        let shrunk = self.duration.mul_f64(SHRINK_FACTOR);
         self.duration = shrunk
-            .max(age.min(self.duration).mul_f64(SHRINK))
-            .max(SHORTEST);
+            .max(age.min(self.duration).mul_f64(SHRINK_FACTOR))
+            .max(MIN_RETENTION);
     }
 }
--- a/crates/core/src/poison/crash.rs
+++ b/crates/core/src/poison/crash.rs
@@ -6,14 +6,14 @@
 use crate::identity::{BackEndName, Incarnation};
 
 /// Times that other nodes told are off by what their messages took; a caller that repeats at once is not faster.
-const TOLD_LATE: Duration = Duration::from_millis(30);
+const REPORT_DELAY: Duration = Duration::from_millis(30);
 
 /// Engines that are lost by one cause end within this time. Ends of copies that ran side by side are further apart
 /// when each copy ended its own.
-const AT_ONCE: Duration = Duration::from_millis(300);
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(300);
 
 /// A run that broke off sooner may have met an engine that had ended before.
-const SHORTEST_RUN: Duration = Duration::from_millis(5);
+const MIN_RUN_TIME: Duration = Duration::from_millis(5);
 
 /// An engine that ended while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,25 +31,25 @@
 }
 
 impl Crash {
-    /// Whether this is another end than `former`: its run began only after that, or it came some time later.
+    /// Whether this is another end than `previous`: its run began only after that, or it came some time later.
     ///
     /// When a whole pool is lost at once, all copies of a popular request end with it: those are one end, not many.
-    pub(super) fn follows(&self, former: &Self) -> bool {
-        let began_after = self.began.after(TOLD_LATE) >= former.ended;
-        let apart = match began_after {
-            true => TOLD_LATE,
-            false => AT_ONCE,
+    pub(super) fn is_separate_from(&self, previous: &Self) -> bool {
+        let began_after = self.began.after(REPORT_DELAY) >= previous.ended;
+        let min_gap = match began_after {
+            true => REPORT_DELAY,
+            false => COMMON_CAUSE_WINDOW,
         };
-        self.ended > former.ended.after(apart)
+        self.ended > previous.ended.after(min_gap)
     }
 
     /// Whether the engine may have ended before it was sent the request.
     pub fn is_doubtful(&self) -> bool {
-        self.ended.since(self.began) < SHORTEST_RUN
+        self.ended.since(self.began) < MIN_RUN_TIME
     }
 
     /// Whether both are the end of the same life of an engine.
-    pub(super) fn is_same(&self, other: &Self) -> bool {
+    pub(super) fn is_same_incarnation(&self, other: &Self) -> bool {
         self.engine == other.engine && self.incarnation == other.incarnation
     }
 }
--- a/crates/core/src/poison/digest.rs
+++ b/crates/core/src/poison/digest.rs
@@ -15,18 +15,18 @@
 /// A text that is no digest.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("'{text}' is not a digest of 32 hexadecimal digits")]
-pub struct UnreadableDigest {
+pub struct InvalidDigest {
     /// The text.
     pub text: String,
 }
 
 impl TryFrom<String> for Digest {
-    type Error = UnreadableDigest;
+    type Error = InvalidDigest;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
         match u128::from_str_radix(&text, 16) {
             Ok(hash) if text.len() == 32 => Ok(Self(hash)),
-            _ => Err(UnreadableDigest { text }),
+            _ => Err(InvalidDigest { text }),
         }
     }
 }
--- a/crates/core/src/poison/mod.rs
+++ b/crates/core/src/poison/mod.rs
@@ -12,7 +12,7 @@
 mod verdict;
 
 pub use crash::Crash;
-pub use digest::{Digest, UnreadableDigest};
+pub use digest::{Digest, InvalidDigest};
 pub use history::History;
 pub use register::Register;
 pub use verdict::Verdict;
--- a/crates/core/src/poison/verdict.rs
+++ b/crates/core/src/poison/verdict.rs
@@ -6,12 +6,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// As any other.
-    Runs,
+    Allowed,
     /// It is held back, but it is time to see whether it still ends its engine.
     Trial,
     /// It is held back.
     Refused {
         /// Until the next trial.
-        come_back_after: Duration,
+        retry_after: Duration,
     },
 }
--- a/crates/core/src/quota/account.rs
+++ b/crates/core/src/quota/account.rs
@@ -3,33 +3,33 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Ask, Limit, Meter, Peers, Usage, Verdict};
+use super::{Limit, Meter, Peers, Request, Usage, Verdict};
 use crate::Timestamp;
 
 /// What is told to others is averaged over this time: some requests of a busy tenant, and not
 /// longer than news take, so that a rise is seen soon.
-const TOLD_SPAN: Duration = Duration::from_millis(200);
+const REPORT_WINDOW: Duration = Duration::from_millis(200);
 /// A node that stands in for all others needs a steadier average than it tells: it sees few
 /// requests itself.
-const STEADY_SPAN: Duration = Duration::from_secs(4);
+const STEADY_WINDOW: Duration = Duration::from_secs(4);
 /// What all nodes admit is steered to meet the limit after so long. News of other zones take up to
 /// a second; a shorter time would swing.
-const HORIZON: Duration = Duration::from_millis(1_000);
+const CONTROL_HORIZON: Duration = Duration::from_millis(1_000);
 /// A new account begins with so much of the limit used up: the process may have been restarted and
 /// have forgotten what it admitted.
 const PRESUMED_USE: Duration = Duration::from_secs(1);
 /// Use beyond the limit is made up for over so much time at most.
-const MOST_DEBT: Duration = Duration::from_secs(4);
+const MAX_DEBT: Duration = Duration::from_secs(4);
 /// Of what the limit admits, this part goes to all requests alike, the rest to urgent ones first, so
 /// that no kind of request is shut out.
-const ALIKE_SHARE: f64 = 0.25;
+const UNPRIORITIZED_SHARE: f64 = 0.25;
 /// A request that uses less than this share of what the tenant's requests use on average goes with
 /// the most urgent ones: to refuse it would save nothing.
-const SMALL_SHARE: f64 = 0.1;
+const SMALL_REQUEST_SHARE: f64 = 0.1;
 /// Requests come back spread over as long as the limit needs for what is asked in a second, within
 /// these bounds.
-const LEAST_SPREAD_S: f64 = 0.5;
-const MOST_SPREAD_S: f64 = 4.0;
+const MIN_SPREAD_S: f64 = 0.5;
+const MAX_SPREAD_S: f64 = 4.0;
 
 /// One tenant with a limit, as one node sees it.
 #[derive(Debug)]
@@ -55,10 +55,10 @@
             balance: balance.min(limit.burst),
             balanced_at: now,
             share: 1.0,
-            asked: Meter::new(TOLD_SPAN, now),
-            admitted: Meter::new(TOLD_SPAN, now),
+            asked: Meter::new(REPORT_WINDOW, now),
+            admitted: Meter::new(REPORT_WINDOW, now),
             asked_by_priority: BTreeMap::new(),
-            requests: Meter::new(STEADY_SPAN, now),
+            requests: Meter::new(STEADY_WINDOW, now),
         }
     }
 
@@ -71,30 +71,36 @@
             true => 0.0,
             // Those that are not heard are taken to admit the same share as this node: what they
             // told last may be a moment at which they made up for a surge.
-            false => peers.others.admitted + peers.others.unheard * self.share,
+            false => peers.others.admitted + peers.others.stale * self.share,
         };
-        let per_second = limit.per_second * peers.share_of_heard();
-        let least = -limit.per_second * MOST_DEBT.as_secs_f64();
+        let per_second = limit.per_second * peers.share_of_reachable();
+        let min_balance = -limit.per_second * MAX_DEBT.as_secs_f64();
         let balance = self.balance + (per_second - others) * elapsed;
-        self.balance = balance.max(least).min(limit.burst);
+        self.balance = balance.max(min_balance).min(limit.burst);
     }
 
     /// Decides on a request.
-    pub fn decide(&mut self, limit: &Limit, peers: &Peers, ask: &Ask, now: Timestamp) -> Verdict {
+    pub fn decide(
+        &mut self,
+        limit: &Limit,
+        peers: &Peers,
+        request: &Request,
+        now: Timestamp,
+    ) -> Verdict {
         self.advance(limit, peers, now);
-        let priority = self.count_asked(ask, now);
-        let asked = self.asked_of_all(peers, now);
-        let horizon = HORIZON.as_secs_f64();
-        let per_second = limit.per_second * peers.share_of_heard();
+        let priority = self.record_request(request, now);
+        let asked = self.total_asked(peers, now);
+        let horizon = CONTROL_HORIZON.as_secs_f64();
+        let per_second = limit.per_second * peers.share_of_reachable();
         let room = (self.balance + per_second * horizon).max(0.0);
         self.share = (room / (asked * horizon).max(f64::MIN_POSITIVE)).min(1.0);
-        let share = self.share_of(priority, self.share, now);
-        if ask.draw < share {
-            self.charge(peers, ask.amount, now);
+        let share = self.priority_share(priority, self.share, now);
+        if request.draw < share {
+            self.charge(peers, request.amount, now);
             return Verdict::Admitted;
         }
         Verdict::Refused {
-            come_back_after: self.come_back_after(limit, asked, ask.draw),
+            retry_after: self.retry_after(limit, asked, request.draw),
             balance: self.balance,
             share,
             asked,
@@ -102,25 +108,25 @@
     }
 
     /// Counts a request; returns the priority that it is admitted by.
-    fn count_asked(&mut self, ask: &Ask, now: Timestamp) -> u8 {
-        self.asked.count(ask.amount, now);
+    fn record_request(&mut self, request: &Request, now: Timestamp) -> u8 {
+        self.asked.count(request.amount, now);
         self.requests.count(1.0, now);
-        let priority = self.rank_of(ask, now);
+        let priority = self.effective_priority(request, now);
         let by_priority = self.asked_by_priority.entry(priority);
-        let of_priority = by_priority.or_insert_with(|| Meter::new(STEADY_SPAN, now));
-        of_priority.count(ask.amount, now);
+        let of_priority = by_priority.or_insert_with(|| Meter::new(STEADY_WINDOW, now));
+        of_priority.count(request.amount, now);
         priority
     }
 
     /// Something that was admitted before runs once more.
     pub fn charge(&mut self, peers: &Peers, amount: f64, now: Timestamp) {
         self.admitted.count(amount, now);
-        let stands_for = if peers.is_uninformed {
+        let represented_nodes = if peers.is_uninformed {
             peers.nodes.max(1)
         } else {
             1
         };
-        self.balance -= amount * stands_for as f64;
+        self.balance -= amount * represented_nodes as f64;
     }
 
     /// Something that was admitted has not run.
@@ -142,45 +148,45 @@
     }
 
     /// What the tenant asks for a second at all nodes that are heard.
-    fn asked_of_all(&self, peers: &Peers, now: Timestamp) -> f64 {
+    fn total_asked(&self, peers: &Peers, now: Timestamp) -> f64 {
         match peers.is_uninformed {
-            true => self.asked_steadily(now) * peers.nodes.max(1) as f64,
+            true => self.steady_asked(now) * peers.nodes.max(1) as f64,
             false => self.asked.per_second(now) + peers.others.asked,
         }
     }
 
-    fn asked_steadily(&self, now: Timestamp) -> f64 {
+    fn steady_asked(&self, now: Timestamp) -> f64 {
         let meters = self.asked_by_priority.values();
         meters.map(|meter| meter.per_second(now)).sum()
     }
 
     /// The priority that a request is admitted by.
-    fn rank_of(&self, ask: &Ask, now: Timestamp) -> u8 {
+    fn effective_priority(&self, request: &Request, now: Timestamp) -> u8 {
         let requests = self.requests.per_second(now).max(f64::MIN_POSITIVE);
-        let mean = self.asked_steadily(now) / requests;
-        let is_small = ask.amount < mean * SMALL_SHARE;
-        if is_small { 0 } else { ask.priority }
+        let mean = self.steady_asked(now) / requests;
+        let is_small = request.amount < mean * SMALL_REQUEST_SHARE;
+        if is_small { 0 } else { request.priority }
     }
 
     /// The share of requests of a priority that is admitted when `share` of all are: most of the
     /// room goes to the most urgent ones first. Their shares of what is asked are taken from what
     /// this node sees.
-    fn share_of(&self, priority: u8, share: f64, now: Timestamp) -> f64 {
-        let all = self.asked_steadily(now).max(f64::MIN_POSITIVE);
+    fn priority_share(&self, priority: u8, share: f64, now: Timestamp) -> f64 {
+        let all = self.steady_asked(now).max(f64::MIN_POSITIVE);
         let ahead = self.asked_by_priority.range(..priority);
         let ahead: f64 = ahead.map(|(_, meter)| meter.per_second(now)).sum();
         let own = self.asked_by_priority.get(&priority);
         let own = own.map_or(0.0, |meter| meter.per_second(now));
         let urgent_first = (share - ahead / all) / (own / all).max(f64::MIN_POSITIVE);
-        ALIKE_SHARE * share + (1.0 - ALIKE_SHARE) * urgent_first.clamp(0.0, 1.0)
+        UNPRIORITIZED_SHARE * share + (1.0 - UNPRIORITIZED_SHARE) * urgent_first.clamp(0.0, 1.0)
     }
 
     /// When the balance is made up for, and then spread by the request's draw, so that those that
     /// were refused do not come back all at once.
-    fn come_back_after(&self, limit: &Limit, asked: f64, draw: f64) -> Duration {
+    fn retry_after(&self, limit: &Limit, asked: f64, draw: f64) -> Duration {
         let per_second = limit.per_second.max(f64::MIN_POSITIVE);
-        let made_up_s = (-self.balance / per_second).clamp(0.0, MOST_DEBT.as_secs_f64());
-        let spread_s = (asked / per_second).clamp(LEAST_SPREAD_S, MOST_SPREAD_S);
-        Duration::from_secs_f64(made_up_s + spread_s * draw)
+        let recovery_s = (-self.balance / per_second).clamp(0.0, MAX_DEBT.as_secs_f64());
+        let spread_s = (asked / per_second).clamp(MIN_SPREAD_S, MAX_SPREAD_S);
+        Duration::from_secs_f64(recovery_s + spread_s * draw)
     }
 }
--- a/crates/core/src/quota/meter.rs
+++ b/crates/core/src/quota/meter.rs
@@ -8,31 +8,32 @@
 /// ever less.
 #[derive(Debug, Clone, Copy)]
 pub struct Meter {
-    span: Duration,
+    time_constant: Duration,
     rate: f64,
-    at: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl Meter {
     /// A meter that has seen nothing.
-    pub fn new(span: Duration, now: Timestamp) -> Self {
+    pub fn new(time_constant: Duration, now: Timestamp) -> Self {
         Self {
-            span,
+            time_constant,
             rate: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
     /// Counts an amount; a negative one takes back what was counted.
     pub fn count(&mut self, amount: f64, now: Timestamp) {
-        let added = amount / self.span.as_secs_f64();
+        let added = amount / self.time_constant.as_secs_f64();
         self.rate = (self.per_second(now) + added).max(0.0);
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// Amount a second.
     pub fn per_second(&self, now: Timestamp) -> f64 {
-        let spans = now.since(self.at).as_secs_f64() / self.span.as_secs_f64();
-        self.rate * (-spans).exp()
+        let time_constants =
+            now.since(self.updated_at).as_secs_f64() / self.time_constant.as_secs_f64();
+        self.rate * (-time_constants).exp()
     }
 }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -9,21 +9,21 @@
 //! of [`crate::limit`].
 
 mod account;
-mod ask;
 mod limit;
 mod meter;
-mod others;
+mod peer_usage;
 mod peers;
+mod request;
 mod tolerance;
 mod usage;
 mod verdict;
 
 pub use account::Account;
-pub use ask::Ask;
 pub use limit::Limit;
 pub use meter::Meter;
-pub use others::Others;
+pub use peer_usage::PeerUsage;
 pub use peers::Peers;
+pub use request::Request;
 pub use tolerance::Tolerance;
 pub use usage::Usage;
 pub use verdict::Verdict;
--- a/crates/core/src/quota/peers.rs
+++ b/crates/core/src/quota/peers.rs
@@ -1,10 +1,10 @@
 //! The other nodes as limits see them.
 
-use super::Others;
+use super::PeerUsage;
 
 /// While some nodes are silent, which of them and since when differs from node to node by up to a
 /// few seconds, so the others use this share of what is left to them.
-const SHARE_IN_DOUBT: f64 = 0.8;
+const UNCERTAINTY_FACTOR: f64 = 0.8;
 
 /// What a node knows of the others when it decides.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -18,7 +18,7 @@
     /// started. It then takes the others to do as it does itself.
     pub is_uninformed: bool,
     /// What the others told, summed up.
-    pub others: Others,
+    pub others: PeerUsage,
 }
 
 impl Peers {
@@ -28,17 +28,17 @@
             nodes: 1,
             silent: 0,
             is_uninformed: false,
-            others: Others::default(),
+            others: PeerUsage::default(),
         }
     }
 
     /// Share of the limit that is left for the nodes that are heard.
-    pub(super) fn share_of_heard(&self) -> f64 {
+    pub(super) fn share_of_reachable(&self) -> f64 {
         let nodes = self.nodes.max(1);
         let silent = self.silent.min(nodes - 1);
         if silent == 0 {
             return 1.0;
         }
-        (1.0 - silent as f64 / nodes as f64) * SHARE_IN_DOUBT
+        (1.0 - silent as f64 / nodes as f64) * UNCERTAINTY_FACTOR
     }
 }
--- a/crates/core/src/quota/ask.rs
+++ b/crates/core/src/quota/request.rs
@@ -2,7 +2,7 @@
 
 /// A request as limits see it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// What it uses, in the unit of the limit.
     pub amount: f64,
     /// Its urgency among the tenant's requests, 0 first.
--- a/crates/core/src/quota/verdict.rs
+++ b/crates/core/src/quota/verdict.rs
@@ -10,7 +10,7 @@
     /// It does not.
     Refused {
         /// When the tenant's limit is likely to have room for it.
-        come_back_after: Duration,
+        retry_after: Duration,
         /// What all nodes may admit at once, for logs; negative after they admitted too much.
         balance: f64,
         /// Share of such requests that is admitted now, for logs.
--- a/crates/core/src/retry/engine_health.rs
+++ b/crates/core/src/retry/engine_health.rs
@@ -11,9 +11,9 @@
 /// Broken answers in a row that eject an engine.
 const FAILURES_TO_EJECT: u32 = 2;
 const FIRST_EJECTION: Duration = Duration::from_millis(250);
-const LONGEST_EJECTION: Duration = Duration::from_secs(10);
+const MAX_EJECTION: Duration = Duration::from_secs(10);
 /// Doublings of the first ejection until the longest is reached.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// The lifecycle of an engine as one process sees it: serving, ejected after failures, probed with
 /// a single request once the ejection has run out, and serving again after an answer.
@@ -68,8 +68,8 @@
 
 impl Lifecycle {
     fn eject(&mut self, at: Timestamp) -> Outcome<State> {
-        let doublings = self.ejections_in_a_row.min(MOST_DOUBLINGS);
-        let ejection = (FIRST_EJECTION * 2_u32.pow(doublings)).min(LONGEST_EJECTION);
+        let doublings = self.ejections_in_a_row.min(MAX_DOUBLINGS);
+        let ejection = (FIRST_EJECTION * 2_u32.pow(doublings)).min(MAX_EJECTION);
         self.ejections_in_a_row += 1;
         self.failures_in_a_row = 0;
         Transition(State::ejected(at.after(ejection)))
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -49,7 +49,7 @@
             break;
         }
     }
-    assert!(turns <= limits.promoted_turn);
+    assert!(turns <= limits.turns_per_promotion);
 }
 
 #[test]
--- a/crates/core/tests/backpressure.rs
+++ b/crates/core/tests/backpressure.rs
@@ -6,7 +6,9 @@
 
 use backpressure_world::{Knowledge, World};
 use ryerouter_core::Timestamp;
-use ryerouter_core::backpressure::{BarReason, Condition, Place, Report, Signal, share_of};
+use ryerouter_core::backpressure::{
+    Condition, ExclusionReason, Report, SenderPosition, Signal, sender_share,
+};
 use yare::parameterized;
 
 const SEEDS: u64 = 10;
@@ -25,7 +27,7 @@
 }
 
 /// The only node.
-const ALONE: Place = Place {
+const ALONE: SenderPosition = SenderPosition {
     nodes: 1,
     senders: 1,
     known: 1,
@@ -114,12 +116,12 @@
 #[test]
 fn paused_node_does_not_make_up_for_what_it_missed() {
     let mut condition = Condition::default();
-    condition.hear(&limit(4.0), at(0), at(0));
+    condition.apply_signal(&limit(4.0), at(0), at(0));
     condition.refresh(&ALONE, at(0));
     let later = at(20_000);
     let mut sent = 0;
-    while condition.bar(later).is_none() {
-        condition.note_sent(later);
+    while condition.exclusion(later).is_none() {
+        condition.record_sent(later);
         sent += 1;
         assert!(sent <= 4, "{sent} at once, more than in a second");
     }
@@ -128,28 +130,28 @@
 #[test]
 fn wait_is_told_until_the_next_request_may_go() {
     let mut condition = Condition::default();
-    condition.hear(&limit(0.5), at(0), at(0));
+    condition.apply_signal(&limit(0.5), at(0), at(0));
     condition.refresh(&ALONE, at(0));
-    let bar = condition.bar(at(500)).expect("barred");
-    assert_eq!(bar.until, Some(at(2_000)));
-    assert_eq!(condition.bar(at(2_000)), None);
-    condition.note_sent(at(2_000));
-    let bar = condition.bar(at(2_000)).expect("barred");
-    assert_eq!(bar.until, Some(at(4_000)));
+    let exclusion = condition.exclusion(at(500)).expect("barred");
+    assert_eq!(exclusion.until, Some(at(2_000)));
+    assert_eq!(condition.exclusion(at(2_000)), None);
+    condition.record_sent(at(2_000));
+    let exclusion = condition.exclusion(at(2_000)).expect("barred");
+    assert_eq!(exclusion.until, Some(at(4_000)));
 }
 
 #[test]
 fn answer_to_an_earlier_request_does_not_end_a_limit() {
     let mut condition = Condition::default();
-    condition.hear(&limit(1.0), at(100), at(200));
+    condition.apply_signal(&limit(1.0), at(100), at(200));
     for late in [300, 3_000, 6_000] {
-        condition.hear(&Signal::default(), at(50), at(late));
+        condition.apply_signal(&Signal::default(), at(50), at(late));
     }
     assert!(condition.limit().is_some());
-    condition.hear(&Signal::default(), at(6_500), at(7_000));
+    condition.apply_signal(&Signal::default(), at(6_500), at(7_000));
     assert!(condition.limit().is_some(), "one answer may be left over");
-    let change = condition.hear(&Signal::default(), at(7_500), at(13_001));
-    assert!(change.is_limit_over && condition.limit().is_none());
+    let change = condition.apply_signal(&Signal::default(), at(7_500), at(13_001));
+    assert!(change.limit_ended && condition.limit().is_none());
 }
 
 /// Two nodes that tell each other all they know, each time with some delay.
@@ -157,7 +159,7 @@
 fn news_of_a_limit_do_not_go_round() {
     let mut seen = Condition::default();
     let mut told = Condition::default();
-    seen.hear(&limit(1.0), at(0), at(0));
+    seen.apply_signal(&limit(1.0), at(0), at(0));
     for round in 1..200 {
         let now = at(round * 2_000);
         let late = |report: Report| Report {
@@ -172,7 +174,7 @@
         if let Some(report) = told.report() {
             seen.merge(&late(report));
         }
-        let place = Place {
+        let place = SenderPosition {
             nodes: 2,
             senders: 2,
             known: 2,
@@ -210,14 +212,14 @@
     more_than_nodes = { 3, 1_000.0 },
 )]
 fn shares_add_up_to_the_limit(nodes: usize, per_second: f64) {
-    let place = |rank| Place {
+    let place = |rank| SenderPosition {
         nodes,
         senders: nodes,
         known: nodes,
         rank,
         score: 0.5,
     };
-    let shares = (0..nodes).map(|rank| share_of(per_second, &place(rank)));
+    let shares = (0..nodes).map(|rank| sender_share(per_second, &place(rank)));
     let sum: f64 = shares.sum();
     assert!((sum - per_second).abs() < 1e-6, "{sum}");
 }
@@ -229,9 +231,9 @@
     }
 }
 
-fn rest(rest: Duration) -> Signal {
+fn backoff(backoff: Duration) -> Signal {
     Signal {
-        rest: Some(rest),
+        backoff: Some(backoff),
         ..Signal::default()
     }
 }
@@ -239,18 +241,21 @@
 #[test]
 fn engine_that_leaves_does_not_come_back() {
     let mut condition = Condition::default();
-    assert!(condition.hear(&leaving(), at(0), at(0)).is_leaving);
-    let again = condition.hear(&leaving(), at(10), at(20));
-    assert!(!again.is_news(), "others know");
-    condition.hear(&Signal::default(), at(1_000), at(1_000));
-    let bar = condition.bar(at(3_600_000)).expect("barred");
-    assert_eq!((bar.reason, bar.until), (BarReason::Leaving, None));
+    assert!(condition.apply_signal(&leaving(), at(0), at(0)).is_leaving);
+    let again = condition.apply_signal(&leaving(), at(10), at(20));
+    assert!(!again.needs_report(), "others know");
+    condition.apply_signal(&Signal::default(), at(1_000), at(1_000));
+    let exclusion = condition.exclusion(at(3_600_000)).expect("barred");
+    assert_eq!(
+        (exclusion.reason, exclusion.until),
+        (ExclusionReason::Leaving, None)
+    );
 }
 
 #[test]
 fn node_that_is_told_that_an_engine_leaves_believes_it() {
     let mut seen = Condition::default();
-    seen.hear(&leaving(), at(0), at(0));
+    seen.apply_signal(&leaving(), at(0), at(0));
     let mut told = Condition::default();
     assert!(told.merge(&seen.report().expect("seen")));
     assert!(told.is_leaving() && told.report().is_none());
@@ -260,37 +265,37 @@
 #[test]
 fn rest_lasts_as_long_as_any_answer_asked() {
     let mut condition = Condition::default();
-    condition.hear(&rest(Duration::from_secs(3)), at(0), at(0));
-    condition.hear(&rest(Duration::from_millis(500)), at(0), at(100));
-    condition.hear(&Signal::default(), at(0), at(200));
-    let bar = condition.bar(at(2_999)).expect("barred");
+    condition.apply_signal(&backoff(Duration::from_secs(3)), at(0), at(0));
+    condition.apply_signal(&backoff(Duration::from_millis(500)), at(0), at(100));
+    condition.apply_signal(&Signal::default(), at(0), at(200));
+    let exclusion = condition.exclusion(at(2_999)).expect("barred");
     assert_eq!(
-        (bar.reason, bar.until),
-        (BarReason::Resting, Some(at(3_000)))
+        (exclusion.reason, exclusion.until),
+        (ExclusionReason::BackingOff, Some(at(3_000)))
     );
-    assert_eq!(condition.bar(at(3_000)), None);
+    assert_eq!(condition.exclusion(at(3_000)), None);
     assert_eq!(condition.report(), None, "it was asked of this node alone");
 }
 
 #[test]
 fn rest_of_years_is_one_of_an_hour() {
     let mut condition = Condition::default();
-    condition.hear(&rest(Duration::from_secs(400_000_000)), at(0), at(0));
-    assert_eq!(condition.bar(at(3_600_000)), None);
-    let bar = condition.bar(at(3_599_999)).expect("barred");
-    assert_eq!(bar.until, Some(at(3_600_000)));
+    condition.apply_signal(&backoff(Duration::from_secs(400_000_000)), at(0), at(0));
+    assert_eq!(condition.exclusion(at(3_600_000)), None);
+    let exclusion = condition.exclusion(at(3_599_999)).expect("barred");
+    assert_eq!(exclusion.until, Some(at(3_600_000)));
 }
 
 /// While limits that are over hold on, an engine is missing that others are in need of.
 #[test]
 fn limit_that_was_in_every_answer_is_over_within_two_seconds() {
     let mut condition = Condition::default();
-    condition.hear(&limit(1.0), at(0), at(0));
-    condition.hear(&limit(1.0), at(0), at(900));
+    condition.apply_signal(&limit(1.0), at(0), at(0));
+    condition.apply_signal(&limit(1.0), at(0), at(900));
     for answered in [1_000, 1_500, 2_000, 2_500] {
-        condition.hear(&Signal::default(), at(950), at(answered));
+        condition.apply_signal(&Signal::default(), at(950), at(answered));
         assert!(condition.limit().is_some(), "{answered}");
     }
-    let change = condition.hear(&Signal::default(), at(950), at(3_000));
-    assert!(change.is_limit_over && condition.limit().is_none());
+    let change = condition.apply_signal(&Signal::default(), at(950), at(3_000));
+    assert!(change.limit_ended && condition.limit().is_none());
 }
--- a/crates/core/tests/backpressure_world/mod.rs
+++ b/crates/core/tests/backpressure_world/mod.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ryerouter_core::Timestamp;
-use ryerouter_core::backpressure::{Condition, Place, Signal};
+use ryerouter_core::backpressure::{Condition, SenderPosition, Signal};
 
 const STEP: Duration = Duration::from_millis(10);
 /// From a request to its answer.
@@ -30,7 +30,7 @@
 
 struct Node {
     condition: Condition,
-    place: Place,
+    place: SenderPosition,
     told_at: Option<Timestamp>,
     /// Requests without an answer yet.
     sent: Vec<Timestamp>,
@@ -131,17 +131,17 @@
                 rate_limit,
                 ..Signal::default()
             };
-            node.condition.hear(&signal, sent, now);
+            node.condition.apply_signal(&signal, sent, now);
             node.condition.refresh(&node.place, now);
             if rate_limit.is_some() {
                 node.told_at.get_or_insert(now);
             }
         }
         let is_asked = self.random.random_bool(demand * STEP.as_secs_f64());
-        if !is_asked || node.condition.bar(now).is_some() {
+        if !is_asked || node.condition.exclusion(now).is_some() {
             return;
         }
-        node.condition.note_sent(now);
+        node.condition.record_sent(now);
         node.sent.push(now);
         self.arrivals.push(now);
         let is_counted = |at: Timestamp| now.since(at) >= SETTLED_AFTER;
@@ -178,7 +178,12 @@
     }
 }
 
-fn place_of(own: usize, scores: &[f64], knowledge: Knowledge, random: &mut ChaCha8Rng) -> Place {
+fn place_of(
+    own: usize,
+    scores: &[f64],
+    knowledge: Knowledge,
+    random: &mut ChaCha8Rng,
+) -> SenderPosition {
     let mut known = 1;
     let mut rank = 0;
     for (index, score) in scores.iter().enumerate() {
@@ -191,7 +196,7 @@
             rank += usize::from(*score > scores[own]);
         }
     }
-    Place {
+    SenderPosition {
         nodes: scores.len(),
         senders: scores.len(),
         known,
--- a/crates/core/tests/dispatch_limits.rs
+++ b/crates/core/tests/dispatch_limits.rs
@@ -11,7 +11,7 @@
     AttemptOutcome, DispatchAction, DispatchEvent, FinalOutcome, Refusal, RefusalReason, RunState,
 };
 use ryerouter_core::identity::{AttemptId, NodeName, RequestId, ResourceVersion, TenantName};
-use ryerouter_core::limit::{LimitCost, LimitGrant, LimitMessage, LimitSend, LimitSettings};
+use ryerouter_core::limit::{LimitCost, LimitEnvelope, LimitGrant, LimitMessage, LimitSettings};
 
 const TENANT: &str = "estate";
 
@@ -51,7 +51,7 @@
     fixture.submit(profile)
 }
 
-fn asks(actions: &[DispatchAction]) -> Vec<LimitSend> {
+fn asks(actions: &[DispatchAction]) -> Vec<LimitEnvelope> {
     let sends = actions.iter().filter_map(|action| match action {
         DispatchAction::SendLimit(send) => Some(send.clone()),
         _ => None,
@@ -77,8 +77,8 @@
 }
 
 /// Answers an ask with this many streams.
-fn grant(fixture: &mut Fixture, send: &LimitSend, streams: u64) -> Vec<DispatchAction> {
-    let LimitMessage::Ask(ask) = &send.message else {
+fn grant(fixture: &mut Fixture, send: &LimitEnvelope, streams: u64) -> Vec<DispatchAction> {
+    let LimitMessage::Request(ask) = &send.message else {
         panic!("{send:?} is no ask");
     };
     let grant = LimitGrant {
--- a/crates/core/tests/limit_basics.rs
+++ b/crates/core/tests/limit_basics.rs
@@ -4,7 +4,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::{NodeName, TenantName};
-use ryerouter_core::limit::{TokenBucket, share_of};
+use ryerouter_core::limit::{TokenBucket, allocator_share};
 use yare::parameterized;
 
 const START: Timestamp = Timestamp::from_millis(1_000);
@@ -24,7 +24,7 @@
     for tenant in ["a", "b", "c"].map(TenantName::new) {
         let shares = banks
             .iter()
-            .map(|bank| share_of(limit, &banks, bank, &tenant));
+            .map(|bank| allocator_share(limit, &banks, bank, &tenant));
         assert_eq!(shares.sum::<u64>(), limit);
     }
 }
@@ -33,7 +33,10 @@
 fn process_that_is_no_bank_has_no_share() {
     let banks = [NodeName::new("bank-0")];
     let other = NodeName::new("bank-1");
-    assert_eq!(share_of(10, &banks, &other, &TenantName::new("a")), 0);
+    assert_eq!(
+        allocator_share(10, &banks, &other, &TenantName::new("a")),
+        0
+    );
 }
 
 #[parameterized(
--- a/crates/core/tests/limit_world/mod.rs
+++ b/crates/core/tests/limit_world/mod.rs
@@ -9,8 +9,8 @@
 use ryerouter_core::claim::{ClaimRoster, KeeperGroup};
 use ryerouter_core::identity::{NodeName, ResourceVersion, TenantName};
 use ryerouter_core::limit::{
-    LimitBank, LimitBankEvent, LimitBorrower, LimitCost, LimitDecision, LimitMessage, LimitSend,
-    LimitSettings,
+    LimitAllocator, LimitAllocatorEvent, LimitClient, LimitCost, LimitDecision, LimitEnvelope,
+    LimitMessage, LimitSettings,
 };
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
@@ -60,8 +60,8 @@
 }
 
 struct Process {
-    borrower: LimitBorrower,
-    bank: LimitBank,
+    borrower: LimitClient,
+    bank: LimitAllocator,
     waiting: u64,
     running: u64,
 }
@@ -139,8 +139,8 @@
     fn started(&self, node: usize) -> Process {
         let settings = LimitSettings::default();
         let mut process = Process {
-            borrower: LimitBorrower::new(node_name(node), self.now, settings),
-            bank: LimitBank::new(node_name(node), settings),
+            borrower: LimitClient::new(node_name(node), self.now, settings),
+            bank: LimitAllocator::new(node_name(node), settings),
             waiting: 0,
             running: 0,
         };
@@ -253,7 +253,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, sends: Vec<LimitSend>) {
+    fn post(&mut self, from: usize, sends: Vec<LimitEnvelope>) {
         self.network.extend(sends.into_iter().map(|send| Envelope {
             from,
             to: index_of(&send.to),
@@ -288,7 +288,7 @@
             self.retry_waiting(to);
             return;
         }
-        let event = LimitBankEvent::Received { from, message };
+        let event = LimitAllocatorEvent::Received { from, message };
         process.bank.handle(event, self.now, &mut sends);
         self.post(to, sends);
     }
@@ -356,13 +356,13 @@
     fn adopt(&mut self, catalog: &Catalog, now: Timestamp) {
         let catalog = Arc::new(catalog.clone());
         self.borrower.adopt(Arc::clone(&catalog));
-        let event = LimitBankEvent::CatalogChanged(catalog);
+        let event = LimitAllocatorEvent::CatalogChanged(catalog);
         self.bank.handle(event, now, &mut Vec::new());
     }
 
     /// The epoch that the bank confirms to others.
     fn bank_epoch(&mut self) -> u64 {
-        let event = LimitBankEvent::Received {
+        let event = LimitAllocatorEvent::Received {
             from: node_name(0),
             message: LimitMessage::Ping {
                 group: 0,
--- a/crates/core/tests/poison.rs
+++ b/crates/core/tests/poison.rs
@@ -34,7 +34,7 @@
 fn history(crashes: impl IntoIterator<Item = Crash>) -> History {
     let mut history = History::default();
     for crash in crashes {
-        history.note_crash(crash);
+        history.record_crash(crash);
     }
     history
 }
@@ -48,8 +48,8 @@
 )]
 fn three_ends_in_a_row_hold_a_request_back(count: u64, expected: bool) {
     let history = history(in_a_row(count));
-    assert_eq!(history.is_convicted(), expected);
-    let runs = history.verdict(false, at(10_000)) == Verdict::Runs;
+    assert_eq!(history.is_blocked(), expected);
+    let runs = history.verdict(false, at(10_000)) == Verdict::Allowed;
     assert_eq!(runs, !expected);
 }
 
@@ -72,14 +72,14 @@
 fn copies_side_by_side_whose_engines_end_one_after_the_other_are_as_many_ends() {
     let copy = |index: u64| crash(&format!("e{index}"), 10 * index, 2_000 + 350 * index);
     let history = history((0..6).map(copy));
-    assert_eq!(history.convicted_at(), Some(at(2_700)));
+    assert_eq!(history.blocked_at(), Some(at(2_700)));
 }
 
 #[test]
 fn two_runs_at_the_same_engine_are_one_end() {
     let mut crashes = in_a_row(2);
     crashes.push(crash("e1", 2_000, 2_100));
-    assert!(!history(crashes).is_convicted());
+    assert!(!history(crashes).is_blocked());
 }
 
 #[test]
@@ -89,7 +89,7 @@
         crash.engine = BackEndName::new("e1");
         crash.incarnation = Some(Incarnation(life as u64));
     }
-    assert!(history(crashes).is_convicted());
+    assert!(history(crashes).is_blocked());
 }
 
 #[parameterized(
@@ -98,14 +98,14 @@
 )]
 fn run_to_a_good_end_speaks_for_all_before_it(cleared: u64) {
     let mut cleared_later = history(in_a_row(3));
-    cleared_later.clear(at(cleared));
+    cleared_later.record_success(at(cleared));
     let mut told_later = History::default();
-    told_later.clear(at(cleared));
+    told_later.record_success(at(cleared));
     for crash in in_a_row(3) {
-        told_later.note_crash(crash);
+        told_later.record_crash(crash);
     }
-    assert!(!cleared_later.is_convicted());
-    assert!(!told_later.is_convicted());
+    assert!(!cleared_later.is_blocked());
+    assert!(!told_later.is_blocked());
 }
 
 /// In a small pool that another request takes away again and again, a popular one is there at each end, and may come to
@@ -122,22 +122,22 @@
     expected: bool,
 ) {
     let mut history = History::default();
-    history.clear(at(0));
+    history.record_success(at(0));
     for mut crash in in_a_row(ends) {
         let later = Duration::from_millis(good_before);
         crash.began = crash.began.after(later);
         crash.ended = crash.ended.after(later);
-        history.note_crash(crash);
+        history.record_crash(crash);
     }
-    assert_eq!(history.is_convicted(), expected);
+    assert_eq!(history.is_blocked(), expected);
 }
 
 #[test]
 fn engine_that_has_gone_on_speaks_for_the_request() {
     let mut history = history(in_a_row(3));
-    let withdrawn = history.withdraw(|crash| crash.engine.as_str() == "e1");
+    let withdrawn = history.remove_crashes(|crash| crash.engine.as_str() == "e1");
     assert_eq!(withdrawn, 1);
-    assert_eq!(history.verdict(false, at(10_000)), Verdict::Runs);
+    assert_eq!(history.verdict(false, at(10_000)), Verdict::Allowed);
 }
 
 /// Plays the life of a request that is sent all the time: tells when it was sent on after its conviction.
@@ -148,13 +148,13 @@
     while now < until {
         now += step;
         match history.verdict(is_in_doubt, at(now)) {
-            Verdict::Runs => panic!("runs at {now}"),
+            Verdict::Allowed => panic!("runs at {now}"),
             Verdict::Trial => {
                 history.begin_trial(at(now));
-                history.note_crash(crash(&format!("t{now}"), now, now + 100));
+                history.record_crash(crash(&format!("t{now}"), now, now + 100));
                 sent.push(now);
             }
-            Verdict::Refused { come_back_after } => assert!(come_back_after > Duration::ZERO),
+            Verdict::Refused { retry_after } => assert!(retry_after > Duration::ZERO),
         }
     }
     sent
@@ -185,26 +185,26 @@
     let mut crashes = in_a_row(3);
     crashes[1].began = at(1_099);
     for crash in crashes {
-        register.note_crash(Digest(1), crash, at(2_100));
+        register.record_crash(Digest(1), crash, at(2_100));
     }
     assert_eq!(register.verdict(Digest(1), at(10_000)), Verdict::Trial);
 }
 
 #[parameterized(
-    alone = { 0, Verdict::Refused { come_back_after: Duration::from_millis(592_100) } },
-    beside_at_one = { 1, Verdict::Refused { come_back_after: Duration::from_millis(592_100) } },
+    alone = { 0, Verdict::Refused { retry_after: Duration::from_millis(592_100) } },
+    beside_at_one = { 1, Verdict::Refused { retry_after: Duration::from_millis(592_100) } },
     beside_at_two = { 2, Verdict::Trial },
 )]
 fn requests_that_share_ends_are_in_doubt(shared: usize, expected: Verdict) {
     let mut register = Register::default();
     for crash in in_a_row(3) {
-        register.note_crash(Digest(1), crash, at(2_100));
+        register.record_crash(Digest(1), crash, at(2_100));
     }
     for crash in in_a_row(3).into_iter().take(shared) {
-        register.note_crash(Digest(2), crash, at(2_100));
+        register.record_crash(Digest(2), crash, at(2_100));
     }
     assert_eq!(register.verdict(Digest(1), at(10_000)), expected);
-    assert_eq!(register.verdict(Digest(2), at(10_000)), Verdict::Runs);
+    assert_eq!(register.verdict(Digest(2), at(10_000)), Verdict::Allowed);
 }
 
 /// A trial that met an engine which had just ended, or a caller that left, tells nothing: it is made again soon, but
@@ -229,7 +229,7 @@
     let mut other = one.clone();
     for (history, engine) in [(&mut one, "t1"), (&mut other, "t2")] {
         history.begin_trial(at(2 * MINUTE));
-        history.note_crash(crash(engine, 2 * MINUTE, 2 * MINUTE + 100));
+        history.record_crash(crash(engine, 2 * MINUTE, 2 * MINUTE + 100));
     }
     one.merge(&other);
     let refused = one.verdict(false, at(30 * MINUTE));
@@ -241,8 +241,11 @@
 fn trial_that_comes_to_a_good_end_frees_the_request() {
     let mut history = history(in_a_row(3));
     history.begin_trial(at(2 * MINUTE));
-    history.clear(at(2 * MINUTE + 100));
-    assert_eq!(history.verdict(false, at(2 * MINUTE + 200)), Verdict::Runs);
+    history.record_success(at(2 * MINUTE + 100));
+    assert_eq!(
+        history.verdict(false, at(2 * MINUTE + 200)),
+        Verdict::Allowed
+    );
     assert_eq!(history.trials, 0);
 }
 
@@ -252,7 +255,7 @@
     let mut history = history(in_a_row(3));
     for index in 0..6 {
         let began = 2_200 + index * 100;
-        history.note_crash(crash(&format!("l{index}"), began, began + 90));
+        history.record_crash(crash(&format!("l{index}"), began, began + 90));
     }
     assert_eq!(history.crashes.len(), 3);
     assert_eq!(history.verdict(false, at(11 * MINUTE)), Verdict::Trial);
@@ -286,16 +289,16 @@
 fn verdict_of_another_node_holds_here_too() {
     let mut own = history([crash("e0", 0, 100), crash("e1", 20, 120)]);
     assert!(own.merge(&history(in_a_row(3))));
-    assert!(own.is_convicted());
+    assert!(own.is_blocked());
 }
 
 #[test]
 fn verdict_from_before_a_good_run_does_not_come_back() {
     let told = history(in_a_row(3));
     let mut own = History::default();
-    own.clear(at(5_000));
+    own.record_success(at(5_000));
     assert!(!own.merge(&told));
-    assert!(!own.is_convicted());
+    assert!(!own.is_blocked());
 }
 
 /// A caller can send a million bodies, but each entry needs an engine that has ended.
@@ -303,23 +306,23 @@
 fn register_is_bounded_and_keeps_what_is_held_back() {
     let mut register = Register::default();
     for crash in in_a_row(3) {
-        register.note_crash(Digest(0), crash, at(2_100));
+        register.record_crash(Digest(0), crash, at(2_100));
     }
     for index in 1..5_000 {
         let now = at(3_000 + index);
         let crash = crash("e9", 3_000 + index, 3_000 + index);
-        register.note_crash(Digest(u128::from(index)), crash, now);
+        register.record_crash(Digest(u128::from(index)), crash, now);
     }
     assert!(register.count() <= 1_024);
-    assert_eq!(register.convicted().collect::<Vec<_>>(), [Digest(0)]);
+    assert_eq!(register.blocked().collect::<Vec<_>>(), [Digest(0)]);
 }
 
 #[test]
 fn request_is_forgotten_some_time_after_its_last_end() {
     let mut register = Register::default();
-    register.note_crash(Digest(1), crash("e1", 0, 100), at(100));
+    register.record_crash(Digest(1), crash("e1", 0, 100), at(100));
     for crash in in_a_row(3) {
-        register.note_crash(Digest(2), crash, at(2_100));
+        register.record_crash(Digest(2), crash, at(2_100));
     }
     register.forget(at(59 * MINUTE));
     assert_eq!(register.count(), 2);
@@ -349,7 +352,7 @@
     let mut register = Register::default();
     for digest in [Digest(1), Digest(2)] {
         for crash in in_a_row(3) {
-            register.note_crash(digest, crash, at(2_100));
+            register.record_crash(digest, crash, at(2_100));
         }
     }
     let now = 2_100 + 5_000;
@@ -358,8 +361,8 @@
     let history = register.get_mut(Digest(1)).expect("known");
     history.begin_trial(at(now));
     let refused = register.verdict(Digest(2), at(now + 500));
-    let come_back_after = Duration::from_millis(1_500);
-    assert_eq!(refused, Verdict::Refused { come_back_after });
+    let retry_after = Duration::from_millis(1_500);
+    assert_eq!(refused, Verdict::Refused { retry_after });
     assert_eq!(register.verdict(Digest(2), at(now + 2_000)), Verdict::Trial);
 }
 
@@ -371,12 +374,12 @@
         ..crash
     });
     let mut own = history(unproven);
-    assert!(!own.is_convicted());
+    assert!(!own.is_blocked());
     // Another node knows of three of them that they had not.
     for crash in in_a_row(3) {
-        assert!(own.note_crash(crash));
+        assert!(own.record_crash(crash));
     }
-    assert!(own.is_convicted());
+    assert!(own.is_blocked());
 }
 
 /// Guards against a bad request that runs on, since what proves nothing stands between its ends.
@@ -390,5 +393,5 @@
     };
     let before = in_a_row(3).into_iter().map(unproven);
     let all: Vec<_> = before.chain(in_a_row(3)).collect();
-    assert_eq!(history(all).convicted_at(), Some(at(2_100)));
+    assert_eq!(history(all).blocked_at(), Some(at(2_100)));
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -6,7 +6,7 @@
 
 use quota_world::{Cut, Load, World};
 use ryerouter_core::Timestamp;
-use ryerouter_core::quota::{Account, Ask, Limit, Peers, Tolerance, Verdict};
+use ryerouter_core::quota::{Account, Limit, Peers, Request, Tolerance, Verdict};
 use yare::parameterized;
 
 /// As the operators of the first deployment with limits set it.
@@ -76,8 +76,8 @@
     assert!(admitted > 0.9 * LIMIT.per_second, "{admitted}");
 }
 
-fn ask(amount: f64, priority: u8, draw: f64) -> Ask {
-    Ask {
+fn ask(amount: f64, priority: u8, draw: f64) -> Request {
+    Request {
         amount,
         priority,
         draw,
@@ -96,7 +96,7 @@
     account
 }
 
-fn is_admitted(account: &mut Account, request: &Ask, now: Timestamp) -> bool {
+fn is_admitted(account: &mut Account, request: &Request, now: Timestamp) -> bool {
     let verdict = account.decide(&LIMIT, &Peers::alone(), request, now);
     verdict == Verdict::Admitted
 }
@@ -124,9 +124,7 @@
     let mut come_back =
         |draw: f64| match account.decide(&LIMIT, &Peers::alone(), &ask(800.0, 2, draw), now) {
             Verdict::Admitted => panic!("admitted"),
-            Verdict::Refused {
-                come_back_after, ..
-            } => come_back_after,
+            Verdict::Refused { retry_after, .. } => retry_after,
         };
     let (early, late) = (come_back(0.6), come_back(0.9));
     assert!(early > Duration::from_millis(100), "{early:?}");
--- a/crates/core/tests/quota_world/mod.rs
+++ b/crates/core/tests/quota_world/mod.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ryerouter_core::Timestamp;
-use ryerouter_core::quota::{Account, Ask, Limit, Others, Peers, Tolerance, Usage, Verdict};
+use ryerouter_core::quota::{Account, Limit, PeerUsage, Peers, Request, Tolerance, Usage, Verdict};
 
 const STEP: Duration = Duration::from_millis(10);
 const TELL_INTERVAL: Duration = Duration::from_millis(300);
@@ -47,7 +47,7 @@
 
 pub struct World {
     limit: Limit,
-    steered: Limit,
+    control_target: Limit,
     tolerance: Tolerance,
     nodes: Vec<Node>,
     origin: Timestamp,
@@ -64,9 +64,9 @@
 impl World {
     pub fn new(nodes: usize, limit: Limit, tolerance: Tolerance, seed: u64) -> Self {
         let now = Timestamp::from_millis(1_000_000);
-        let steered = limit.steered(&tolerance);
+        let control_target = limit.control_target(&tolerance);
         let node = |_| Node {
-            account: Account::new(&steered, Duration::from_secs(14), now),
+            account: Account::new(&control_target, Duration::from_secs(14), now),
             started_at: now.before(Duration::from_secs(14)),
             told: Usage::default(),
             told_to_zones: Usage::default(),
@@ -77,7 +77,7 @@
         };
         Self {
             limit,
-            steered,
+            control_target,
             tolerance,
             nodes: (0..nodes).map(node).collect(),
             origin: now,
@@ -114,7 +114,7 @@
     pub fn restart(&mut self, share: f64) {
         let count = (share * self.nodes.len() as f64) as usize;
         for node in &mut self.nodes[..count] {
-            node.account = Account::new(&self.steered, Duration::ZERO, self.now);
+            node.account = Account::new(&self.control_target, Duration::ZERO, self.now);
             node.started_at = self.now;
             node.told = Usage::default();
             node.peers.is_uninformed = true;
@@ -142,7 +142,7 @@
     fn ask(&mut self) {
         let size = SIZES[self.random.random_range(0..SIZES.len())];
         let index = self.random.random_range(0..self.nodes.len());
-        let ask = Ask {
+        let ask = Request {
             amount: size,
             priority: u8::from(size > 2_000.0),
             draw: self.random.random(),
@@ -151,7 +151,7 @@
         let node = &mut self.nodes[index];
         let verdict = node
             .account
-            .decide(&self.steered, &node.peers, &ask, self.now);
+            .decide(&self.control_target, &node.peers, &ask, self.now);
         if verdict == Verdict::Admitted {
             self.note_admitted(size);
         }
@@ -192,14 +192,14 @@
             let peers = self.peers(index, cut);
             let node = &mut self.nodes[index];
             node.peers = peers;
-            node.account.advance(&self.steered, &peers, self.now);
+            node.account.advance(&self.control_target, &peers, self.now);
         }
     }
 
     fn peers(&self, index: usize, cut: Option<Cut>) -> Peers {
         let own_cut = self.cut_for(index, cut);
         let is_new = self.now.since(self.nodes[index].started_at) < UNINFORMED_AT_START;
-        let mut others = Others::default();
+        let mut others = PeerUsage::default();
         let mut silent = 0;
         for (other, node) in self
             .nodes
@@ -216,7 +216,7 @@
                 true => node.told,
                 false => node.told_to_zones,
             };
-            others.add_heard(told);
+            others.add_recent(told);
         }
         Peers {
             nodes: self.nodes.len(),
--- a/crates/core/tests/retry_health.rs
+++ b/crates/core/tests/retry_health.rs
@@ -96,7 +96,7 @@
 fn an_empty_budget_fills_slowly_by_itself() {
     let mut budget = RetryBudget::new(START);
     while budget.spend(START) {}
-    let wait = budget.next_in();
+    let wait = budget.time_to_next_retry();
     assert!(wait > Duration::ZERO);
     assert!(budget.spend(START.after(wait + Duration::from_millis(1))));
     assert!(!budget.spend(START.after(wait + Duration::from_millis(2))));
--- a/crates/gateway/src/engines/engine.rs
+++ b/crates/gateway/src/engines/engine.rs
@@ -209,7 +209,7 @@
     pub fn takes_work(&self, now: Timestamp) -> bool {
         let is_misdirected = self.misdirected_until.is_some_and(|until| now < until);
         let is_willing = self.is_staying() && !self.is_loading(now);
-        is_willing && !is_misdirected && self.condition.bar(now).is_none()
+        is_willing && !is_misdirected && self.condition.exclusion(now).is_none()
     }
 
     /// All work there.
--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ryerouter_core::Timestamp;
-use ryerouter_core::backpressure::{Bar, BarReason, Change, Place};
+use ryerouter_core::backpressure::{Change, Exclusion, ExclusionReason, SenderPosition};
 use ryerouter_core::identity::{BackEndName, NodeName, PoolName};
 use ryerouter_core::placement::rendezvous_score;
 use slog::{info, warn};
@@ -47,9 +47,9 @@
         let Some(engine) = state.engines.get_mut(name) else {
             return;
         };
-        let change = engine.condition.hear(&facts.signal, sent_at, now);
+        let change = engine.condition.apply_signal(&facts.signal, sent_at, now);
         self.refresh_engine(&mut state, name, now);
-        if change.is_news() {
+        if change.needs_report() {
             self.log_change(&state, name, change, now);
             state.signal_news.insert(name.clone(), TELLINGS);
             drop(state);
@@ -71,7 +71,7 @@
         }
         let said = [
             ("leaving", signal.is_leaving),
-            ("rest", signal.rest.is_some()),
+            ("rest", signal.backoff.is_some()),
             ("limit", signal.rate_limit.is_some()),
         ];
         for (kind, _) in said.iter().filter(|(_, is_said)| *is_said) {
@@ -80,7 +80,7 @@
         if let Some(left_out) = self.signal_sampler().admit(self.clock().now()) {
             info!(self.log(), "engine_signal"; "request" => request,
                 "engine" => %engine, "leaving" => signal.is_leaving,
-                "rest_ms" => signal.rest.map(|rest| rest.as_millis() as u64),
+                "rest_ms" => signal.backoff.map(|backoff| backoff.as_millis() as u64),
                 "limit" => signal.rate_limit, "left_out" => left_out);
         }
     }
@@ -99,7 +99,7 @@
             .get(name)
             .and_then(|engine| engine.condition.limit());
         info!(self.log(), "engine_condition_changed"; "engine" => %name,
-            "leaves" => change.is_leaving, "limit_over" => change.is_limit_over,
+            "leaves" => change.is_leaving, "limit_over" => change.limit_ended,
             "limit" => limit.map(|limit| limit.per_second()),
             "share" => limit.map(|limit| limit.share()), "left_out" => left_out);
     }
@@ -112,7 +112,7 @@
         if engine.is_some_and(|engine| engine.condition.limit().is_some())
             && let Some(engine) = state.engines.get_mut(name)
         {
-            engine.condition.note_sent(now);
+            engine.condition.record_sent(now);
         }
     }
 
@@ -137,7 +137,12 @@
     pub(crate) fn barred_engines(&self, pool: &PoolName) -> Option<String> {
         let now = self.clock().now();
         let state = self.state();
-        let counts = [BarReason::Leaving, BarReason::Resting, BarReason::Limited].map(|reason| {
+        let counts = [
+            ExclusionReason::Leaving,
+            ExclusionReason::BackingOff,
+            ExclusionReason::Limited,
+        ]
+        .map(|reason| {
             let bars = bars_of(&state, pool, now).filter(|bar| bar.reason == reason);
             (reason, bars.count())
         });
@@ -199,7 +204,7 @@
             };
             info!(self.log(), "engine_limited"; "engine" => %name,
                 "limit" => limit.per_second(), "share" => limit.share(), "sent" => limit.sent(),
-                "named_age_ms" => now.since(limit.named_at()).as_millis() as u64,
+                "named_age_ms" => now.since(limit.advertised_at()).as_millis() as u64,
                 "left_out" => left_out);
         }
     }
@@ -218,7 +223,12 @@
 
     /// The place of this node among those that may send to an engine. Silent nodes keep theirs until they are forgotten:
     /// they may only be cut off from this one.
-    fn place_before(&self, state: &GatewayState, engine: &BackEndName, now: Timestamp) -> Place {
+    fn place_before(
+        &self,
+        state: &GatewayState,
+        engine: &BackEndName,
+        now: Timestamp,
+    ) -> SenderPosition {
         let own = &self.settings().identity;
         let zone = state.engines.get(engine).map(|engine| &engine.entry.zone);
         let heard = state.peers.lately_heard(now);
@@ -240,7 +250,7 @@
         }
         let heard_share = (all.len() + 1) as f64 / nodes as f64;
         let senders = (known as f64 / heard_share).round() as usize;
-        Place {
+        SenderPosition {
             nodes,
             senders,
             known,
@@ -322,10 +332,10 @@
     state: &'a GatewayState,
     pool: &PoolName,
     now: Timestamp,
-) -> impl Iterator<Item = Bar> + use<'a> {
+) -> impl Iterator<Item = Exclusion> + use<'a> {
     let engines: Vec<_> = state.engines.of_pool(pool).collect();
     let bars = engines.into_iter();
-    bars.filter_map(move |engine| engine.condition.bar(now))
+    bars.filter_map(move |engine| engine.condition.exclusion(now))
 }
 
 /// Some of the engines that this node has heard something of, others with each message.
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -30,7 +30,7 @@
     pub(crate) fn verdict_on(&self, request: &AcceptedRequest) -> Verdict {
         let has_none = self.state().poison.is_empty();
         match has_none {
-            true => Verdict::Runs,
+            true => Verdict::Allowed,
             false => self.verdict_on_digest(request.digest()),
         }
     }
@@ -100,22 +100,22 @@
         warn!(self.log(), "engine_ended_under_request"; "request" => &run.request,
             "digest" => %digest, "engine" => %placement.engine, "route" => &run.route,
             "after_ms" => now.since(began).as_millis() as u64, "in_a_row" => count,
-            "is_unproven" => is_unproven, "held_back" => self.state().poison.is_convicted(digest));
+            "is_unproven" => is_unproven, "held_back" => self.state().poison.is_blocked(digest));
     }
 
     /// An engine ended under a request. How many have now, one after the other; `None` when this tells nothing new.
     pub fn note_poison_crash(&self, digest: Digest, crash: Crash) -> Option<usize> {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        if !state.poison.note_crash(digest, crash, now) {
+        if !state.poison.record_crash(digest, crash, now) {
             return None;
         }
         let history = state.poison.get(digest)?;
         let count = history.crashes.len();
-        let (is_convicted, is_near) = (history.is_convicted(), history.is_nearly_convicted());
+        let (is_blocked, is_near) = (history.is_blocked(), history.is_nearly_blocked());
         drop(state);
         self.tell_of_poison(digest);
-        match is_convicted {
+        match is_blocked {
             true => self.write_poison_record(digest),
             false if is_near => self.write_suspect_record(digest),
             false => {}
@@ -136,10 +136,10 @@
     pub fn clear_poison(&self, digest: Digest) -> bool {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        if state.poison.is_convicted(digest) {
+        if state.poison.is_blocked(digest) {
             state.poison_records.note_held(digest);
         }
-        let is_news = state.poison.clear(digest, now);
+        let is_news = state.poison.record_success(digest, now);
         let is_held = state.poison_records.is_held(digest);
         drop(state);
         if is_news {
@@ -177,13 +177,13 @@
         let Some(history) = poison.get_mut(digest) else {
             return;
         };
-        let withdrawn = history.withdraw(has_gone_on);
+        let withdrawn = history.remove_crashes(has_gone_on);
         if withdrawn > 0 {
             info!(self.log(), "poison_withdrawn"; "digest" => %digest, "engines" => withdrawn,
-                "held_back" => history.is_convicted());
+                "held_back" => history.is_blocked());
         }
         if withdrawn > 0
-            && !history.is_convicted()
+            && !history.is_blocked()
             && let Some(revision) = poison_records.forget(digest)
         {
             poison_records.remove_later(digest, revision);
@@ -270,17 +270,17 @@
             note_ended_engines(state, told, now);
             let digest = told.digest;
             let history = told.history(now);
-            let was_convicted = state.poison.is_convicted(digest);
+            let was_convicted = state.poison.is_blocked(digest);
             let is_news = state.poison.merge(digest, &history, now);
-            let is_convicted = state.poison.is_convicted(digest);
-            if is_news && is_convicted != was_convicted {
-                info!(self.log(), "poison_heard"; "digest" => %digest, "held_back" => is_convicted,
+            let is_blocked = state.poison.is_blocked(digest);
+            if is_news && is_blocked != was_convicted {
+                info!(self.log(), "poison_heard"; "digest" => %digest, "held_back" => is_blocked,
                     "is_recorded" => told.is_recorded);
             }
             if was_convicted || told.is_recorded {
                 state.poison_records.note_held(digest);
             }
-            if is_news && (is_convicted || was_convicted) {
+            if is_news && (is_blocked || was_convicted) {
                 self.write_poison_record_later(state, digest, now);
             }
             if told.is_recorded {
@@ -310,8 +310,8 @@
 
 /// Some of the requests that are held back, others with each message.
 fn convicted_of_turn(state: &GatewayState) -> Vec<Digest> {
-    let convicted: Vec<_> = state.poison.convicted().collect();
-    part_of_turn(&convicted, MOST_IN_INTRODUCTION, state.poison_turn)
+    let blocked: Vec<_> = state.poison.blocked().collect();
+    part_of_turn(&blocked, MOST_IN_INTRODUCTION, state.poison_turn)
 }
 
 fn news_of(state: &GatewayState, told: &[Digest], now: Timestamp) -> Vec<PoisonNews> {
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -89,7 +89,7 @@
             self.take_poison_record(stored, now, time);
         }
         let mut state = self.state_mut();
-        let held_back = state.poison.convicted().count();
+        let held_back = state.poison.blocked().count();
         let records = &mut state.poison_records;
         records.reading = match consistency {
             Consistency::Linearizable => Reading::Current,
@@ -109,7 +109,7 @@
         let told = stored.record.history(now, time);
         let is_chosen = self.removes_records();
         let mut state = self.state_mut();
-        if told.is_over(now) {
+        if told.is_expired(now) {
             if is_chosen {
                 state.poison_records.remove_later(digest, stored.revision);
             }
@@ -160,7 +160,7 @@
                 state.poison_records.forget(digest);
                 continue;
             };
-            if !history.is_nearly_convicted() && !state.poison_records.is_held(digest) {
+            if !history.is_nearly_blocked() && !state.poison_records.is_held(digest) {
                 // A good end has cleared it before it was written.
                 state.poison_records.settle(digest);
                 continue;
@@ -182,7 +182,7 @@
         drop(state);
         info!(self.log(), "poison_recorded"; "digest" => %digest, "revision" => revision,
             "ends" => written.crashes.len(), "trials" => written.trials,
-            "held_back" => written.is_convicted());
+            "held_back" => written.is_blocked());
         self.poison_records_changed.notify_waiters();
         self.tell_of_poison(digest);
     }
@@ -197,7 +197,7 @@
         state.poison_records.end_write(digest, revision);
         state.poison.merge(digest, &theirs, now);
         let own = state.poison.get(digest);
-        let is_newer = own.is_some_and(|own| own.exceeds(&theirs));
+        let is_newer = own.is_some_and(|own| own.has_updates_for(&theirs));
         if is_newer {
             state.poison_records.write_by(digest, now);
         }
@@ -263,7 +263,7 @@
 /// Nothing is left to write where the store holds all that this node knows.
 pub(super) fn settle_unless_newer(state: &mut GatewayState, digest: Digest, held: &History) {
     let own = state.poison.get(digest);
-    if own.is_none_or(|own| !own.exceeds(held)) {
+    if own.is_none_or(|own| !own.has_updates_for(held)) {
         state.poison_records.settle(digest);
     }
 }
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -5,7 +5,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::TenantName;
-use ryerouter_core::quota::{Ask, Limit, Others, Peers, Usage, Verdict};
+use ryerouter_core::quota::{Limit, PeerUsage, Peers, Request, Usage, Verdict};
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -30,7 +30,7 @@
         let Some((tenant, limit, amount)) = limited_use(request) else {
             return Ok(());
         };
-        let ask = Ask {
+        let ask = Request {
             amount,
             priority: request.route.priority,
             draw: draw_of(&request.caller.id),
@@ -40,7 +40,7 @@
         match state.quotas.decide(tenant, &limit, &ask, now) {
             Verdict::Admitted => Ok(()),
             Verdict::Refused {
-                come_back_after,
+                retry_after,
                 balance,
                 share,
                 asked,
@@ -52,7 +52,7 @@
                 );
                 let refused = &self.metrics().over_limit;
                 refused.with_label_values(&[tenant.as_str()]).inc();
-                Err(Refusal::new(RefusalReason::OverLimit, detail).come_back_after(come_back_after))
+                Err(Refusal::new(RefusalReason::OverLimit, detail).with_retry_after(retry_after))
             }
         }
     }
@@ -117,7 +117,7 @@
             },
             silent: self.silent_nodes(state, now),
             is_uninformed: nodes > 1 && (is_new || !is_heard),
-            others: Others::default(),
+            others: PeerUsage::default(),
         }
     }
 
@@ -158,10 +158,10 @@
     }
 }
 
-fn other_usages(state: &GatewayState, now: Timestamp) -> HashMap<TenantKey, Others> {
-    let mut sums: HashMap<TenantKey, Others> = HashMap::new();
+fn other_usages(state: &GatewayState, now: Timestamp) -> HashMap<TenantKey, PeerUsage> {
+    let mut sums: HashMap<TenantKey, PeerUsage> = HashMap::new();
     for UsageNews(tenant, usage) in state.peers.usages(now) {
-        sums.entry(tenant).or_default().add_heard(usage);
+        sums.entry(tenant).or_default().add_recent(usage);
     }
     if state.peers.is_large() {
         state.zone_traffic.add_usages_to(&mut sums, now);
--- a/crates/gateway/src/peers/zone_traffic.rs
+++ b/crates/gateway/src/peers/zone_traffic.rs
@@ -5,7 +5,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::{BackEndName, ZoneName};
-use ryerouter_core::quota::Others;
+use ryerouter_core::quota::PeerUsage;
 
 use super::{EngineLoadNews, ZoneNews};
 use crate::engines::EngineLoad;
@@ -91,14 +91,14 @@
     }
 
     /// Adds what tenants use, as far as that is still valid, to `sums`.
-    pub fn add_usages_to(&self, sums: &mut HashMap<TenantKey, Others>, now: Timestamp) {
+    pub fn add_usages_to(&self, sums: &mut HashMap<TenantKey, PeerUsage>, now: Timestamp) {
         for traffic in self.told_within(MOST_AGE_OF_USAGES, now) {
             let is_heard = now.since(traffic.told_at) < HEARD_WITHIN;
             for UsageNews(tenant, usage) in &traffic.usages {
                 let sum = sums.entry(*tenant).or_default();
                 match is_heard {
-                    true => sum.add_heard(*usage),
-                    false => sum.add_unheard(*usage),
+                    true => sum.add_recent(*usage),
+                    false => sum.add_stale(*usage),
                 }
             }
         }
--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ryerouter_core::Timestamp;
-use ryerouter_core::backpressure::BarReason;
+use ryerouter_core::backpressure::ExclusionReason;
 use ryerouter_core::identity::{BackEndName, PoolName, ZoneName};
 use ryerouter_core::placement::rendezvous_score;
 use xxhash_rust::xxh3::xxh3_64;
@@ -160,8 +160,8 @@
     fn has_barred_engines(&self, pool: &PoolName) -> bool {
         let mut engines = self.engines.of_pool(pool);
         engines.any(|engine| {
-            let bar = engine.condition.bar(self.now);
-            bar.is_some_and(|bar| bar.reason != BarReason::Leaving)
+            let bar = engine.condition.exclusion(self.now);
+            bar.is_some_and(|bar| bar.reason != ExclusionReason::Leaving)
         })
     }
 
--- a/crates/gateway/src/poison/poison_news.rs
+++ b/crates/gateway/src/poison/poison_news.rs
@@ -39,9 +39,9 @@
         Self {
             digest,
             crashes: crashes.map(|crash| CrashNews::new(crash, now)).collect(),
-            cleared_age_ms: history.cleared_at.map(age_ms),
+            cleared_age_ms: history.last_success_at.map(age_ms),
             trials: history.trials,
-            tried_age_ms: history.tried_at.map(age_ms),
+            tried_age_ms: history.last_trial_at.map(age_ms),
             is_recorded: false,
         }
     }
@@ -52,9 +52,9 @@
         let crashes = self.crashes.iter();
         History {
             crashes: crashes.map(|news| news.crash(now)).collect(),
-            cleared_at: self.cleared_age_ms.map(at),
+            last_success_at: self.cleared_age_ms.map(at),
             trials: self.trials,
-            tried_at: self.tried_age_ms.map(at),
+            last_trial_at: self.tried_age_ms.map(at),
         }
     }
 }
--- a/crates/gateway/src/quotas/table.rs
+++ b/crates/gateway/src/quotas/table.rs
@@ -4,7 +4,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::TenantName;
-use ryerouter_core::quota::{Account, Ask, Limit, Others, Peers, Tolerance, Usage, Verdict};
+use ryerouter_core::quota::{Account, Limit, PeerUsage, Peers, Request, Tolerance, Usage, Verdict};
 
 use super::{Standing, TenantKey, UsageNews, tenant_key};
 
@@ -22,7 +22,7 @@
     started_at: Timestamp,
     /// With the limits that they steer by.
     accounts: BTreeMap<TenantName, (Limit, Account)>,
-    others: HashMap<TenantKey, Others>,
+    others: HashMap<TenantKey, PeerUsage>,
     /// The other nodes, without what they use.
     peers: Peers,
 }
@@ -44,7 +44,7 @@
     pub fn refresh<'a>(
         &mut self,
         peers: Peers,
-        usages: HashMap<TenantKey, Others>,
+        usages: HashMap<TenantKey, PeerUsage>,
         tenants: impl Iterator<Item = (&'a TenantName, Limit)>,
         now: Timestamp,
     ) {
@@ -52,7 +52,7 @@
         self.others = usages;
         let mut kept = std::mem::take(&mut self.accounts);
         for (tenant, limit) in tenants {
-            let limit = limit.steered(&self.tolerance);
+            let limit = limit.control_target(&self.tolerance);
             let known = kept.remove(tenant).map(|(_, account)| account);
             let mut account = known.unwrap_or_else(|| self.new_account(&limit, now));
             account.advance(&limit, &self.peers_of(tenant), now);
@@ -65,7 +65,7 @@
         &mut self,
         tenant: &TenantName,
         limit: &Limit,
-        ask: &Ask,
+        ask: &Request,
         now: Timestamp,
     ) -> Verdict {
         let peers = self.peers_of(tenant);
@@ -121,7 +121,7 @@
         limit: &Limit,
         now: Timestamp,
     ) -> &mut (Limit, Account) {
-        let limit = limit.steered(&self.tolerance);
+        let limit = limit.control_target(&self.tolerance);
         let fresh = self.new_account(&limit, now);
         let entry = self.accounts.entry(tenant.clone());
         let account = entry.or_insert((limit, fresh));
--- a/crates/gateway/src/request/refusal.rs
+++ b/crates/gateway/src/request/refusal.rs
@@ -78,7 +78,7 @@
     }
 
     /// Tells the caller when to come back.
-    pub fn come_back_after(mut self, wait: Duration) -> Self {
+    pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -126,8 +126,8 @@
                 return Err(self.ends_engines(NO_ENGINE_RETRY));
             }
             let verdict = self.verdict();
-            if let Verdict::Refused { come_back_after } = verdict {
-                return Err(self.ends_engines(come_back_after));
+            if let Verdict::Refused { retry_after } = verdict {
+                return Err(self.ends_engines(retry_after));
             }
             let placement = self.place(verdict).ok_or_else(|| self.no_engine())?;
             let is_paid = std::mem::take(&mut self.is_retry_paid) || self.arrivals == 0;
@@ -290,7 +290,7 @@
         let may_run = self.held.may_have_run() || self.has_answer;
         match may_run {
             false => Refusal::new(RefusalReason::DeadlineNotRun, "no engine in time")
-                .come_back_after(NO_ENGINE_RETRY),
+                .with_retry_after(NO_ENGINE_RETRY),
             true => Refusal::new(RefusalReason::DeadlineMayHaveRun, "no answer in time"),
         }
     }
@@ -386,16 +386,16 @@
             Some(barred) => format!("pool '{pool}': no engine takes work ({barred})"),
             None => format!("pool '{pool}': no engine takes work"),
         };
-        Refusal::new(RefusalReason::NoEngine, detail).come_back_after(self.wait(NO_ENGINE_RETRY))
+        Refusal::new(RefusalReason::NoEngine, detail).with_retry_after(self.wait(NO_ENGINE_RETRY))
     }
 
     /// It is not sent on, so that callers learn that at once, and when another try may be of use.
-    fn ends_engines(&self, come_back_after: Duration) -> Refusal {
+    fn ends_engines(&self, retry_after: Duration) -> Refusal {
         let detail = "engines have ended under it";
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, detail);
         }
-        Refusal::new(RefusalReason::EndsEngines, detail).come_back_after(come_back_after)
+        Refusal::new(RefusalReason::EndsEngines, detail).with_retry_after(retry_after)
     }
 
     /// When to come back: once an engine may be sent something again, where all of them say when.
@@ -408,7 +408,7 @@
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, "retry budget spent");
         }
-        Refusal::new(RefusalReason::NotRun, "retry budget spent").come_back_after(NO_ROOM_RETRY)
+        Refusal::new(RefusalReason::NotRun, "retry budget spent").with_retry_after(NO_ROOM_RETRY)
     }
 
     fn refusal_after(&self, end: &AttemptEnd) -> Refusal {
@@ -416,6 +416,6 @@
             return Refusal::new(RefusalReason::MayHaveRun, end.to_string());
         }
         Refusal::new(RefusalReason::NotRun, end.to_string())
-            .come_back_after(self.wait(NO_ROOM_RETRY))
+            .with_retry_after(self.wait(NO_ROOM_RETRY))
     }
 }
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -40,13 +40,13 @@
     };
     let table = gateway.state().table.clone().ok_or_else(|| {
         Refusal::new(RefusalReason::NoConfiguration, "no configuration yet")
-            .come_back_after(COME_BACK_AFTER)
+            .with_retry_after(COME_BACK_AFTER)
     })?;
     let route = find_route(&table, &head)?;
     let tenant = find_tenant(gateway, &table, &route, &caller)?;
     let pool = route.pool_of(&caller.id).cloned().ok_or_else(|| {
         Refusal::new(RefusalReason::NoEngine, "route without a pool")
-            .come_back_after(COME_BACK_AFTER)
+            .with_retry_after(COME_BACK_AFTER)
     })?;
     let patience = patience(&caller, &route);
     let mut headers = head.headers;
@@ -126,7 +126,7 @@
                 true => COME_BACK_ELSEWHERE,
                 false => COME_BACK_AFTER,
             };
-            return Err(refusal.come_back_after(wait));
+            return Err(refusal.with_retry_after(wait));
         }
     }
     let tenant = caller.key.as_ref().and_then(|key| table.tenant_of(key));
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -481,7 +481,7 @@
         rate_limit: Some(1.0),
         ..Signal::default()
     };
-    limited.condition.hear(&signal, now, now);
+    limited.condition.apply_signal(&signal, now, now);
     assert_eq!(world.choose(&short_prompt()), None);
     let free = world.engines.get_mut(&BackEndName::new("a")).unwrap();
     free.foreign_load = EngineLoad::default();
--- a/crates/gateway/tests/poison_news.rs
+++ b/crates/gateway/tests/poison_news.rs
@@ -47,7 +47,7 @@
 }
 
 fn is_held_back(node: &Gateway) -> bool {
-    node.verdict_on_digest(DIGEST) != Verdict::Runs
+    node.verdict_on_digest(DIGEST) != Verdict::Allowed
 }
 
 /// The engine that both nodes list is still there; the ends of the others are not in doubt.
@@ -120,7 +120,7 @@
             let bytes = serde_json::to_vec(&datagram).expect("datagram").len();
             assert!(bytes < 6_000, "{bytes}");
         }
-        let heard = nodes[1].state().poison.convicted().count();
+        let heard = nodes[1].state().poison.blocked().count();
         assert_eq!(heard, 100);
     });
 }
@@ -225,7 +225,7 @@
                 newcomer.hear_peer(nodes[0].peer_message(true));
                 (0..between).for_each(|_| drop(nodes[0].peer_message(false)));
             }
-            let heard = newcomer.state().poison.convicted().count();
+            let heard = newcomer.state().poison.blocked().count();
             assert_eq!(heard, 40, "{between}");
         }
     });
@@ -252,7 +252,7 @@
         while is_urgent().await {
             deliver(&nodes, nodes[3].next_load_news());
         }
-        let heard = nodes[9].state().poison.convicted().count();
+        let heard = nodes[9].state().poison.blocked().count();
         assert_eq!(heard, 70);
     });
 }
--- a/crates/gateway/tests/poison_records.rs
+++ b/crates/gateway/tests/poison_records.rs
@@ -114,14 +114,14 @@
 fn request_that_was_cleared_is_not_held_back_after_all_nodes_were_killed() {
     run(async {
         let mut nodes = prove(RequestKind::Streaming).await;
-        let digest = nodes.convicted();
+        let digest = nodes.blocked();
         for bench in &nodes.benches {
             assert!(bench.gateway.clear_poison(digest));
         }
         sleep(PAUSE).await;
         PoisonRecords::of_test().refresh_stale();
         nodes.kill_all().await;
-        let held_back = nodes.benches[0].gateway.state().poison.is_convicted(digest);
+        let held_back = nodes.benches[0].gateway.state().poison.is_blocked(digest);
         assert!(!held_back);
     });
 }
@@ -225,11 +225,11 @@
         });
         let mut history = History::default();
         crashes.for_each(|crash| {
-            history.note_crash(crash);
+            history.record_crash(crash);
         });
-        assert!(history.is_convicted());
+        assert!(history.is_blocked());
         if is_cleared {
-            history.clear(now);
+            history.record_success(now);
         }
         let record = Record::new(Digest(7), &history, now, SystemTime::now() - age);
         store.write(&record, None).await.expect("written");
@@ -246,7 +246,7 @@
 fn ends_that_two_nodes_saw_at_the_same_moment_are_both_recorded() {
     run(async {
         let nodes = prove(RequestKind::Streaming).await;
-        let digest = nodes.convicted();
+        let digest = nodes.blocked();
         sleep(UNTIL_ENDS_COUNT_AS_LATER).await;
         for (index, bench) in nodes.benches.iter().take(2).enumerate() {
             let now = bench.gateway.clock().now();
--- a/crates/gateway/tests/poison_requests.rs
+++ b/crates/gateway/tests/poison_requests.rs
@@ -124,7 +124,7 @@
         for bench in &nodes.benches {
             let next = bench.begin("POST", &[(ID, "next")], LASTING).await;
             let status = next.status();
-            let held_back = bench.gateway.state().poison.convicted().count();
+            let held_back = bench.gateway.state().poison.blocked().count();
             assert!(status.is_success(), "{status}, {held_back} held back");
         }
     });
--- a/crates/gateway/tests/poison_trials.rs
+++ b/crates/gateway/tests/poison_trials.rs
@@ -82,7 +82,7 @@
             hold_back(&bench.gateway, body);
             let answer = bench.call("POST", &[(ID, "r")], body).await;
             assert!(answer.status.is_success(), "{body}: {answer:?}");
-            assert!(!bench.gateway.state().poison.is_convicted(digest_of(body)));
+            assert!(!bench.gateway.state().poison.is_blocked(digest_of(body)));
         }
     });
 }
--- a/crates/gateway/tests/regions.rs
+++ b/crates/gateway/tests/regions.rs
@@ -7,7 +7,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::{BackEndName, ZoneName};
-use ryerouter_core::quota::{Ask, Limit};
+use ryerouter_core::quota::{Limit, Request};
 use ryerouter_gateway::engines::{EngineLoad, InFlight};
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::peers::HolderNews;
@@ -193,7 +193,7 @@
         sleep(Duration::from_millis(10)).await;
         for node in &fleet.nodes[1..5] {
             index += 1;
-            let ask = Ask {
+            let ask = Request {
                 amount: 1.0,
                 priority: 0,
                 draw: f64::from(index % 89) / 89.0,
--- a/crates/gateway/tests/support/crashing_nodes.rs
+++ b/crates/gateway/tests/support/crashing_nodes.rs
@@ -60,10 +60,10 @@
     }
 
     /// What stands for the request that is held back.
-    pub fn convicted(&self) -> Digest {
+    pub fn blocked(&self) -> Digest {
         let state = self.benches[0].gateway.state();
-        let convicted = state.poison.convicted().next();
-        convicted.expect("a request that is held back")
+        let blocked = state.poison.blocked().next();
+        blocked.expect("a request that is held back")
     }
 
     /// All nodes are killed at once, and as many started.
--- a/crates/gateway/tests/support/test_dialect.rs
+++ b/crates/gateway/tests/support/test_dialect.rs
@@ -86,7 +86,7 @@
     let number = |name| text(&head.headers, name).and_then(|text| text.parse().ok());
     Signal {
         is_leaving: head.headers.contains_key(LEAVING),
-        rest: number(RETRY_AFTER.as_str()).map(Duration::from_secs_f64),
+        backoff: number(RETRY_AFTER.as_str()).map(Duration::from_secs_f64),
         rate_limit: number(LIMIT),
     }
 }
--- a/crates/gateway/tests/tenant_limits.rs
+++ b/crates/gateway/tests/tenant_limits.rs
@@ -7,7 +7,7 @@
 
 use hyper::StatusCode;
 use ryerouter_core::identity::TenantName;
-use ryerouter_core::quota::{Ask, Limit, Verdict};
+use ryerouter_core::quota::{Limit, Request, Verdict};
 use ryerouter_gateway::catalogue::{RateLimit, RequestKind, Unit};
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::placement::Prompt;
@@ -100,7 +100,7 @@
 
 /// Whether a node admits one request more of the tenant.
 fn ask(node: &Gateway, index: u32) -> bool {
-    let ask = Ask {
+    let ask = Request {
         amount: 1.0,
         priority: 0,
         draw: f64::from(index % 89) / 89.0,
--- a/crates/node/src/control/control_handle.rs
+++ b/crates/node/src/control/control_handle.rs
@@ -5,7 +5,7 @@
 use ryerouter_core::config::{Change, ChangeAccepted, ChangeRefusal};
 use ryerouter_core::dispatch::RoutingSnapshot;
 use ryerouter_core::lifecycle::NodePhase;
-use ryerouter_core::limit::LimitSend;
+use ryerouter_core::limit::LimitEnvelope;
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::{
@@ -18,7 +18,7 @@
 pub struct ControlHandle {
     commands: mpsc::Sender<ControlCommand>,
     observations: mpsc::Sender<BackEndObservation>,
-    limit_sends: mpsc::Sender<LimitSend>,
+    limit_sends: mpsc::Sender<LimitEnvelope>,
     claims: ControlClaimGate,
     snapshots: watch::Receiver<Arc<RoutingSnapshot>>,
     phases: watch::Receiver<NodePhase>,
@@ -29,7 +29,7 @@
     pub(super) fn new(
         commands: mpsc::Sender<ControlCommand>,
         observations: mpsc::Sender<BackEndObservation>,
-        limit_sends: mpsc::Sender<LimitSend>,
+        limit_sends: mpsc::Sender<LimitEnvelope>,
         claims: ControlClaimGate,
         snapshots: watch::Receiver<Arc<RoutingSnapshot>>,
         phases: watch::Receiver<NodePhase>,
@@ -96,7 +96,7 @@
     }
 
     /// Where the borrower among the traffic threads sends its messages.
-    pub fn limit_sends(&self) -> mpsc::Sender<LimitSend> {
+    pub fn limit_sends(&self) -> mpsc::Sender<LimitEnvelope> {
         self.limit_sends.clone()
     }
 
--- a/crates/node/src/control/control_queues.rs
+++ b/crates/node/src/control/control_queues.rs
@@ -4,7 +4,7 @@
 
 use ryerouter_core::dispatch::RoutingSnapshot;
 use ryerouter_core::lifecycle::NodePhase;
-use ryerouter_core::limit::LimitSend;
+use ryerouter_core::limit::LimitEnvelope;
 use tokio::sync::{mpsc, watch};
 
 use super::claim_command::ClaimCommand;
@@ -22,7 +22,7 @@
     pub(super) commands: mpsc::Receiver<ControlCommand>,
     pub(super) observations: mpsc::Receiver<BackEndObservation>,
     pub(super) claims: mpsc::UnboundedReceiver<ClaimCommand>,
-    pub(super) limit_sends: mpsc::Receiver<LimitSend>,
+    pub(super) limit_sends: mpsc::Receiver<LimitEnvelope>,
     pub(super) changes: ChangeLog,
     pub(super) snapshots: watch::Sender<Arc<RoutingSnapshot>>,
     pub(super) phases: watch::Sender<NodePhase>,
--- a/crates/node/src/traffic/dispatch_handle.rs
+++ b/crates/node/src/traffic/dispatch_handle.rs
@@ -8,7 +8,7 @@
 use ryerouter_core::identity::{
     AttemptId, DataCentreName, NodeName, RequestId, StageName, ZoneName,
 };
-use ryerouter_core::limit::{LimitSend, LimitSettings};
+use ryerouter_core::limit::{LimitEnvelope, LimitSettings};
 use ryerouter_core::migration::StageMeasurement;
 use tokio::sync::mpsc::{Sender, UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -32,7 +32,7 @@
     mailboxes: HashMap<RequestId, UnboundedSender<RequestCommand>>,
     attempts: HashMap<AttemptId, RequestId>,
     actions: Vec<DispatchAction>,
-    limit_sends: Option<Sender<LimitSend>>,
+    limit_sends: Option<Sender<LimitEnvelope>>,
 }
 
 impl DispatchHandle {
@@ -53,7 +53,7 @@
 
     /// Enforces limits of tenants from now on. Messages to the banks of the limits go to `sends`;
     /// their answers come back as [`DispatchEvent::LimitGranted`].
-    pub fn limit_tenants(&self, node: NodeName, sends: Sender<LimitSend>) {
+    pub fn limit_tenants(&self, node: NodeName, sends: Sender<LimitEnvelope>) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         state.limit_sends = Some(sends);
--- a/crates/node/src/traffic/running_node.rs
+++ b/crates/node/src/traffic/running_node.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use ryerouter_core::dispatch::{DispatchEvent, RoutingSnapshot};
 use ryerouter_core::identity::RequestId;
-use ryerouter_core::limit::LimitSend;
+use ryerouter_core::limit::LimitEnvelope;
 use slog::{Logger, info, o};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
@@ -108,7 +108,7 @@
 
     /// Enforces limits of tenants from now on. Messages to the banks of the limits go to `sends`;
     /// their answers are to be given to the feed returned.
-    pub fn limit_tenants(&self, sends: tokio::sync::mpsc::Sender<LimitSend>) -> DispatchFeed {
+    pub fn limit_tenants(&self, sends: tokio::sync::mpsc::Sender<LimitEnvelope>) -> DispatchFeed {
         let node = self.context.settings.node.clone();
         self.context.dispatch.limit_tenants(node, sends);
         DispatchFeed::new(self.context.clone())
--- a/crates/testbed/src/limits/moved_tickets.rs
+++ b/crates/testbed/src/limits/moved_tickets.rs
@@ -9,8 +9,8 @@
 use ryerouter_core::claim::{ClaimRoster, KeeperGroup};
 use ryerouter_core::identity::{NodeName, ResourceVersion, TenantName};
 use ryerouter_core::limit::{
-    LimitBank, LimitBankEvent, LimitBorrower, LimitCost, LimitDecision, LimitMessage, LimitSend,
-    LimitSettings,
+    LimitAllocator, LimitAllocatorEvent, LimitClient, LimitCost, LimitDecision, LimitEnvelope,
+    LimitMessage, LimitSettings,
 };
 
 use super::{Scheme, Verdict};
@@ -29,8 +29,8 @@
 
 /// The router's own way: each node spends tickets that it asked of the tenant's banks.
 pub struct MovedTickets {
-    borrowers: Vec<LimitBorrower>,
-    banks: Vec<LimitBank>,
+    borrowers: Vec<LimitClient>,
+    banks: Vec<LimitAllocator>,
     tenants: Vec<TenantName>,
     waiting: BTreeMap<(usize, usize), u32>,
     network: BTreeMap<Timestamp, VecDeque<Envelope>>,
@@ -57,11 +57,11 @@
         let mut borrowers = Vec::new();
         let mut banks = Vec::new();
         for node in 0..nodes {
-            let mut borrower = LimitBorrower::new(node_name(node), started_at, settings);
+            let mut borrower = LimitClient::new(node_name(node), started_at, settings);
             borrower.adopt(Arc::clone(&catalog));
             borrowers.push(borrower);
-            let mut bank = LimitBank::new(node_name(node), settings);
-            let event = LimitBankEvent::CatalogChanged(Arc::clone(&catalog));
+            let mut bank = LimitAllocator::new(node_name(node), settings);
+            let event = LimitAllocatorEvent::CatalogChanged(Arc::clone(&catalog));
             bank.handle(event, started_at, &mut Vec::new());
             banks.push(bank);
         }
@@ -77,7 +77,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, sends: Vec<LimitSend>, now: Timestamp) {
+    fn post(&mut self, from: usize, sends: Vec<LimitEnvelope>, now: Timestamp) {
         for send in sends {
             let to = index_of(&send.to);
             let is_local = from == to;
@@ -108,7 +108,7 @@
             }
             return;
         }
-        let event = LimitBankEvent::Received { from, message };
+        let event = LimitAllocatorEvent::Received { from, message };
         self.banks[to].handle(event, now, &mut sends);
         self.post(to, sends, now);
     }
--- a/crates/testbed/src/limits/shared_rates.rs
+++ b/crates/testbed/src/limits/shared_rates.rs
@@ -5,7 +5,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ryerouter_core::Timestamp;
-use ryerouter_core::quota::{Account, Ask, Limit, Peers, Tolerance, Usage, Verdict as Decision};
+use ryerouter_core::quota::{
+    Account, Limit, Peers, Request, Tolerance, Usage, Verdict as Decision,
+};
 
 use super::{Scheme, Verdict};
 
@@ -39,7 +41,7 @@
             per_second: limit as f64,
             burst: limit as f64,
         };
-        let limit = limit.steered(&Tolerance::default());
+        let limit = limit.control_target(&Tolerance::default());
         let account = |_| Account::new(&limit, Duration::ZERO, now);
         Self {
             limit,
@@ -93,7 +95,7 @@
                 true => &self.told,
                 false => &self.told_to_zones,
             };
-            peers.others.add_heard(told[other][tenant]);
+            peers.others.add_recent(told[other][tenant]);
         }
         peers
     }
@@ -101,7 +103,7 @@
 
 impl Scheme for SharedRates {
     fn request(&mut self, node: usize, tenant: usize, now: Timestamp) -> Verdict {
-        let ask = Ask {
+        let ask = Request {
             amount: 1.0,
             priority: 0,
             draw: self.random.random(),
