--- a/crates/core/src/backpressure/condition.rs
+++ b/crates/core/src/backpressure/condition.rs
@@ -1,62 +1,63 @@
-//! What is known of one engine by its own word.
+//! Backpressure state of one engine.
 
 use std::time::Duration;
 
 use super::{Exclusion, ExclusionReason, Limit, Report, SenderPosition, Signal};
 use crate::Timestamp;
 
-/// Longest rest that is kept to: an engine that asks for more most likely does not mean it.
+/// Maximum time for which a backoff is obeyed. A longer one is most likely an error of the engine.
 const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
-/// Others are told of a limit again when it has changed by this share.
+/// Relative change of a limit from which it is reported to other nodes again.
 const REPORT_THRESHOLD: f64 = 0.2;
 
-/// What an answer has changed.
+/// What a response changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Change {
-    /// The engine was not known to leave.
+    /// The engine is leaving, which was not known before.
     pub is_leaving: bool,
-    /// It names a limit, or one that differs much from that of before.
+    /// The engine advertises its first limit, or one that differs from the last by more than the report threshold.
     pub limit_changed: bool,
-    /// It names no limit any more.
+    /// The engine no longer advertises a limit.
     pub limit_ended: bool,
 }
 
 impl Change {
-    /// Whether other nodes need to know.
+    /// Whether the change must be reported to other nodes.
     pub fn needs_report(self) -> bool {
         self != Self::default()
     }
 }
 
-/// What is known of one engine by its own word, as long as it lives.
+/// Backpressure that one incarnation of an engine has signalled.
 #[derive(Debug, Clone, Default)]
 pub struct Condition {
     is_leaving: bool,
     backoff_until: Option<Timestamp>,
     limit: Option<Limit>,
-    /// When a limit was last seen to be named or to be over, by whichever node.
+    /// When any node last saw the limit advertised or ended.
     limit_at: Option<Timestamp>,
-    /// What this node has seen itself: only that is told, so that no news go round for ever.
+    /// What this node has observed itself. Only this is reported, so that reports do not circulate between nodes
+    /// forever.
     observed: Report,
 }
 
 impl Condition {
-    /// Whether nothing is known.
+    /// Whether the engine has signalled nothing.
     pub fn is_empty(&self) -> bool {
         !self.is_leaving && self.backoff_until.is_none() && self.limit_at.is_none()
     }
 
-    /// Whether the engine has said that it leaves. It does not come back in this life.
+    /// Whether the engine has signalled that it is leaving. This holds for the rest of the incarnation.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Its limit.
+    /// The rate limit that the engine advertises.
     pub fn limit(&self) -> Option<&Limit> {
         self.limit.as_ref()
     }
 
-    /// Takes what an answer to a request says that was sent at `sent_at`.
+    /// Applies the signal in the response to a request that was sent at `sent_at`.
     pub fn apply_signal(&mut self, signal: &Signal, sent_at: Timestamp, now: Timestamp) -> Change {
         if let Some(backoff) = signal.backoff {
             let until = now.after(backoff.min(MAX_BACKOFF));
@@ -112,13 +113,14 @@
         self.limit_at = self.limit_at.max(Some(at));
     }
 
-    /// What this node has seen itself; `None` when that is nothing.
+    /// What this node has observed itself; `None` when it has observed nothing.
     pub fn report(&self) -> Option<Report> {
         let has_observed = self.observed.is_leaving || self.observed.limit_at.is_some();
         has_observed.then_some(self.observed)
     }
 
-    /// Takes what another node has seen, as far as that is newer; tells whether that changes anything.
+    /// Merges the report of another node where it is newer; returns whether this changes whether the engine is leaving
+    /// or limited.
     pub fn merge(&mut self, remote: &Report) -> bool {
         let before = (self.is_leaving, self.limit.is_some());
         self.is_leaving |= remote.is_leaving;
@@ -131,7 +133,7 @@
         before != (self.is_leaving, self.limit.is_some())
     }
 
-    /// Takes the place of this node among those that may send to the engine, and forgets a limit that must be over.
+    /// Updates this node's position among the senders to the engine, and drops an expired limit.
     pub fn refresh(&mut self, position: &SenderPosition, now: Timestamp) {
         let limit = self.limit.as_mut();
         if let Some(limit) = limit.filter(|limit| !limit.is_expired(position.nodes, now)) {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Why the engine gets nothing now.
+    /// Why the engine must not be sent a request now; `None` when it may be.
     pub fn exclusion(&self, now: Timestamp) -> Option<Exclusion> {
         if self.is_leaving {
             return Some(Exclusion {
@@ -166,7 +168,7 @@
         })
     }
 
-    /// A request is sent to the engine.
+    /// Records that a request was sent to the engine.
     pub fn record_sent(&mut self, now: Timestamp) {
         if let Some(limit) = &mut self.limit {
             limit.take(now);
--- a/crates/core/src/backpressure/exclusion.rs
+++ b/crates/core/src/backpressure/exclusion.rs
@@ -1,28 +1,28 @@
-//! Why an engine gets nothing now.
+//! Why an engine is excluded from new requests.
 
 use derive_more::Display;
 
 use crate::Timestamp;
 
-/// What bars an engine.
+/// Reason for which an engine is excluded from new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum ExclusionReason {
-    /// It leaves.
+    /// The engine is leaving.
     #[display("leaving")]
     Leaving,
-    /// It has asked this node for rest.
+    /// The engine has requested a backoff from this node.
     #[display("resting")]
     BackingOff,
-    /// This node's share of its limit is used up.
+    /// This node's share of the engine's rate limit is used up.
     #[display("limited")]
     Limited,
 }
 
-/// Why an engine gets nothing now.
+/// Exclusion of an engine from new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exclusion {
-    /// What bars it.
+    /// Why the engine is excluded.
     pub reason: ExclusionReason,
-    /// When it may be sent something again; `None` when that is not known.
+    /// When the engine may be sent a request again; `None` when this is not known.
     pub until: Option<Timestamp>,
 }
--- a/crates/core/src/backpressure/limit.rs
+++ b/crates/core/src/backpressure/limit.rs
@@ -1,4 +1,4 @@
-//! The limit that an engine has named.
+//! Rate limit that an engine advertises.
 
 use std::time::Duration;
 
@@ -6,37 +6,40 @@
 use crate::Timestamp;
 use crate::limit::TokenBucket;
 
-/// What a node may save up of its share, where that is more than a request: requests do not come evenly.
+/// Burst that a node may accumulate from its share, where this is more than one request. Requests do not arrive evenly.
 const BURST: Duration = Duration::from_secs(1);
-/// A limit holds for so long after answers began to come without it: those may be left over from before.
+/// A limit stays in force for this long after responses began to omit it, because such responses may date from before
+/// the limit.
 const MIN_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// An engine may name its limit in some of its answers only. Then the limit holds for so many times as long as it was left out
-/// before, within a bound.
+/// An engine may advertise its limit in only some of its responses. The limit then stays in force for this many times
+/// the longest gap between two advertisements, up to a maximum.
 const GRACE_FACTOR: u32 = 4;
 const MAX_GRACE_PERIOD: Duration = Duration::from_secs(10);
-/// After that the engine, which has just been in need, is sent twice as much with each step for so long.
+/// After the grace period the rate doubles with each step during the recovery, because the engine was overloaded until
+/// just now.
 const RECOVERY: Duration = Duration::from_millis(1_500);
 const RECOVERY_STEP: Duration = Duration::from_millis(500);
-/// A limit that nobody has seen named for so long is over: those who were to tell so may have gone.
+/// Bounds of the time after which a limit expires that no node has seen advertised. The nodes that should have reported
+/// its end may be gone.
 const MIN_RETENTION: Duration = Duration::from_secs(60);
 const MAX_RETENTION: Duration = Duration::from_secs(600);
-/// Nodes that ask whether a limit is over use up this share of it at most.
+/// Maximum share of the limit that nodes use to probe whether it has ended.
 const PROBE_SHARE: f64 = 0.1;
-/// Thousandths of a request a second.
+/// Thousandths of a request per second.
 const MILLI: f64 = 1e3;
-/// A higher rate limits no node.
+/// Upper bound of the rate passed to the token bucket; a higher rate does not limit any node.
 const MAX_RATE: f64 = 1e9;
 
-/// The limit that an engine has named, and the share of it that this node may send.
+/// Rate limit that an engine advertises, and this node's share of it.
 #[derive(Debug, Clone)]
 pub struct Limit {
     per_second: f64,
     advertised_at: Timestamp,
-    /// Since when this node's answers come without it.
+    /// Since when the responses to this node omit the limit.
     omitted_since: Option<Timestamp>,
-    /// For how long they had done so with the last of them.
+    /// For how long they had omitted it at the last such response.
     omitted_for: Duration,
-    /// For how long it may be left out.
+    /// For how long responses may omit the limit before it begins to recover.
     grace_period: Duration,
     share: f64,
     bucket: TokenBucket,
@@ -44,7 +47,7 @@
 }
 
 impl Limit {
-    /// A limit that has just been named. Until the share of this node is set it sends nothing.
+    /// A limit that has just been advertised. It allows no request until the position of this node is set.
     pub(super) fn new(per_second: f64, advertised_at: Timestamp) -> Self {
         Self {
             per_second,
@@ -58,27 +61,27 @@
         }
     }
 
-    /// Requests a second that the engine takes from all nodes together.
+    /// Requests per second that the engine accepts from all nodes together.
     pub fn per_second(&self) -> f64 {
         self.per_second
     }
 
-    /// Requests a second that this node may send.
+    /// Requests per second that this node may send.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// How many it has sent since the limit was named.
+    /// Number of requests that this node has sent since the limit was first advertised.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// When it was last named, as far as known.
+    /// When the limit was last advertised to any node, as far as known.
     pub fn advertised_at(&self) -> Timestamp {
         self.advertised_at
     }
 
-    /// An answer names it, or did to another node.
+    /// Applies a limit that a response advertised to this node or to another.
     pub(super) fn advertise(&mut self, per_second: f64, at: Timestamp) {
         self.per_second = per_second;
         self.advertised_at = self.advertised_at.max(at);
@@ -89,7 +92,7 @@
         self.omitted_for = Duration::ZERO;
     }
 
-    /// An answer to a request that was sent at `sent_at` does not name it. Returns whether it is over.
+    /// Records that the response to a request sent at `sent_at` omits the limit. Returns whether the limit has ended.
     pub(super) fn record_omission(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
         if sent_at <= self.advertised_at {
             return false;
@@ -99,7 +102,7 @@
         self.omitted_for >= self.grace_period + RECOVERY
     }
 
-    /// Takes the place of this node among those that may send.
+    /// Updates this node's share from its position among the senders.
     pub(super) fn set_position(&mut self, position: &SenderPosition, now: Timestamp) {
         let recovering = self.omitted_for.saturating_sub(self.grace_period);
         let steps = recovering.as_secs_f64() / RECOVERY_STEP.as_secs_f64();
@@ -109,8 +112,8 @@
         self.bucket.set_rate(rate_milli as u64, now);
     }
 
-    /// Whether nobody has seen it named for so long that it must be over. The fewer requests it allows for all
-    /// nodes together, the less often they may all ask.
+    /// Whether no node has seen the limit advertised for so long that it must have ended. The lower the limit, the less
+    /// often all nodes together may probe it, and the longer it is kept.
     pub(super) fn is_expired(&self, nodes: usize, now: Timestamp) -> bool {
         let probe_interval_s =
             nodes as f64 / (self.per_second * PROBE_SHARE).max(f64::MIN_POSITIVE);
@@ -124,7 +127,7 @@
         self.bucket.next_at(now)
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub(super) fn take(&mut self, now: Timestamp) {
         self.sent += self.bucket.take(1, now);
     }
--- a/crates/core/src/backpressure/mod.rs
+++ b/crates/core/src/backpressure/mod.rs
@@ -1,8 +1,9 @@
-//! What engines say of themselves in their answers, and how much they may be sent by that.
+//! Backpressure: what engines signal in their responses, and how many requests they may be sent accordingly.
 //!
-//! An engine in need names how many requests a second it takes from all nodes together, asks a node for rest, or says
-//! that it leaves. Each of these is a promise to the engine and no price: what it bars is never sent, however good the
-//! engine looks. A [`Condition`] holds what is known of one engine; `docs/design/backpressure.md` has the reasons.
+//! An overloaded engine advertises how many requests per second it accepts from all nodes together, requests a backoff
+//! from one node, or signals that it is leaving. Nodes must obey each of these; they are not a cost that placement
+//! weighs. An excluded engine is never sent a request, however well it scores. A [`Condition`] holds the backpressure
+//! state of one engine; `docs/design/backpressure.md` explains the design.
 
 mod condition;
 mod exclusion;
--- a/crates/core/src/backpressure/report.rs
+++ b/crates/core/src/backpressure/report.rs
@@ -1,14 +1,14 @@
-//! What a node tells others of an engine.
+//! What a node reports to other nodes about an engine's backpressure.
 
 use crate::Timestamp;
 
-/// What a node has seen itself of an engine and tells others.
+/// Backpressure of an engine that this node has observed itself and reports to other nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Report {
-    /// The engine leaves.
+    /// Whether the engine is leaving.
     pub is_leaving: bool,
-    /// The limit that it named, or that it names none any more.
+    /// Rate limit that the engine advertised, in requests per second; `None` when it no longer advertises one.
     pub limit: Option<f64>,
-    /// When that was; `None` when the node has seen nothing of a limit.
+    /// When the limit was advertised or ended; `None` when this node has observed neither.
     pub limit_at: Option<Timestamp>,
 }
--- a/crates/core/src/backpressure/sender_share.rs
+++ b/crates/core/src/backpressure/sender_share.rs
@@ -1,36 +1,39 @@
-//! How a limit is divided between nodes.
+//! How an engine's rate limit is divided between nodes.
 
-/// Nodes that share a limit beyond one for each request a second. With a part of more than one request in a few
-/// seconds each, what all of them save up stays below the half of the limit that may be exceeded for a moment.
+/// Number of nodes that share a limit in addition to one per request per second. Each share is then more than one
+/// request in a few seconds, and the bursts that all nodes together can accumulate stay below half the limit, by which
+/// it may be exceeded briefly.
 const EXTRA_SENDERS: usize = 3;
-/// A node that has heard of this share of all nodes knows its place among them.
+/// Minimum share of the senders that a node must know of to rely on its rank.
 const MIN_KNOWN_SHARE: f64 = 0.8;
-/// Where nodes do not know their places, twice as many as planned may send.
+/// Factor by which the number of senders may exceed the planned one when nodes do not know their rank and are selected
+/// by score.
 const MAX_SENDER_EXCESS: f64 = 2.0;
-/// An engine that takes next to nothing is asked so often by one node whether it takes more, in requests a second.
+/// Rate at which one node probes an engine that accepts almost nothing, in requests per second.
 const PROBE_RATE: f64 = 0.1;
 
-/// The place of a node among those that may send to an engine: the nodes of its zone, whose callers it mostly serves, or
-/// all where there are none. The order is that of rendezvous hashing.
+/// Position of a node among those that may send to an engine: the nodes of the engine's zone, which mostly serve the
+/// callers of that zone, or all nodes when the zone has none. The order is that of rendezvous hashing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SenderPosition {
-    /// How many nodes there may be in all, this one included.
+    /// Maximum number of nodes that may exist, this one included.
     pub nodes: usize,
-    /// How many of them may send.
+    /// Number of nodes that may send.
     pub senders: usize,
-    /// How many of those this node has heard of, itself included.
+    /// Number of senders that this node knows of, itself included.
     pub known: usize,
-    /// How many of those come before it; all, when it is none of them.
+    /// Number of known senders ranked before this node; at least `senders` when this node is not a sender.
     pub rank: usize,
-    /// Its score as a share of the highest there is.
+    /// Rendezvous score of this node as a share of the maximum score.
     pub score: f64,
 }
 
-/// The part of an engine's limit that falls to a node, in requests a second.
+/// Share of an engine's rate limit that a node may use, in requests per second.
 ///
-/// Nodes agree on it without a word: a limit may be less than one request a second for each node, and nodes that are cut off
-/// or have just been told can't ask the others. So it is divided between some of them only, as many as can each save up a whole
-/// request without all of them together exceeding the limit, and the others send nothing.
+/// Nodes agree on their shares without communicating: a limit may be less than one request per second for each node,
+/// and nodes that are isolated or have just received the limit cannot ask the others. So only some of the nodes share
+/// the limit: as many as can each accumulate a whole request without all of them together exceeding it. The others send
+/// nothing.
 pub fn sender_share(per_second: f64, position: &SenderPosition) -> f64 {
     let by_rate = per_second.min(position.senders as f64) as usize + EXTRA_SENDERS;
     let senders = by_rate.min(position.senders).max(1);
--- a/crates/core/src/backpressure/signal.rs
+++ b/crates/core/src/backpressure/signal.rs
@@ -1,20 +1,20 @@
-//! What one answer says of its engine.
+//! Backpressure in one response of an engine.
 
 use std::time::Duration;
 
-/// What one answer says of the engine that gave it.
+/// Backpressure signalled by one response of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Signal {
-    /// The engine leaves: it finishes what it has and wants nothing new.
+    /// The engine is leaving: it finishes its current requests and accepts no new ones.
     pub is_leaving: bool,
-    /// The engine wants nothing more from the node that it answers for this time.
+    /// Time for which the receiving node must send the engine nothing more.
     pub backoff: Option<Duration>,
-    /// Requests a second that the engine takes from all nodes together.
+    /// Requests per second that the engine accepts from all nodes together.
     pub rate_limit: Option<f64>,
 }
 
 impl Signal {
-    /// Whether the answer says nothing of its engine.
+    /// Whether the response carries no backpressure signal.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
--- a/crates/core/src/poison/digest.rs
+++ b/crates/core/src/poison/digest.rs
@@ -1,10 +1,10 @@
-//! What stands for a request and its repeats.
+//! Digest that identifies a request and its retries.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Stands for a request and all its repeats: a keyed hash of its path, caller and body, so that nodes can tell
-/// each other of it without its content.
+/// Keyed hash of a request's path, caller and body. It identifies the request and all its retries, so that nodes can
+/// exchange information about a request without its content.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -12,11 +12,11 @@
 #[display("{_0:032x}")]
 pub struct Digest(pub u128);
 
-/// A text that is no digest.
+/// Error for a text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("'{text}' is not a digest of 32 hexadecimal digits")]
 pub struct InvalidDigest {
-    /// The text.
+    /// The rejected text.
     pub text: String,
 }
 
--- a/crates/core/src/poison/history.rs
+++ b/crates/core/src/poison/history.rs
@@ -1,57 +1,63 @@
-//! What is known of one request under which engines ended.
+//! Crashes and trials of one request.
 
 use std::time::Duration;
 
 use super::{Crash, Verdict};
 use crate::Timestamp;
 
-/// Engines that ended one after the other under a request: two may be chance where engines fail by themselves.
+/// Number of separate crashes after which a request is blocked. Two may be a coincidence where engines crash for other
+/// reasons.
 const CRASHES_TO_BLOCK: usize = 3;
-/// The same for a request that came to a good end lately: what engines end under is something else, which stands beside
-/// it, unless they have other weights or software since.
+/// Number of separate crashes after which a request that succeeded recently is blocked. Its crashes were probably
+/// caused by another request that ran beside it, unless the engines have run other weights or other software since.
 const CRASHES_TO_BLOCK_AFTER_SUCCESS: usize = 9;
-/// How long a good end counts.
+/// How long before the first crash a success still counts as recent.
 const SUCCESS_RETENTION: Duration = Duration::from_secs(600);
-/// Runs that began so soon after the last of these were sent by nodes that had not heard of it.
+/// Time for a block to reach all nodes. Runs that began this soon after the blocking crash were sent by nodes that did
+/// not know of the block yet.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// How long a request is held back before its trial while it is in doubt and no trial has ended an engine: that frees one
-/// which only stood beside another. A trial may tell nothing, as when its caller leaves; once more is soon enough.
+/// Delays before trials of a blocked request whose crashes may have another cause, indexed by the number of trials, as
+/// long as no trial has crashed an engine. An early trial unblocks a request that only ran beside another. A trial can
+/// be inconclusive, for example when the caller disconnects, so there is a second one.
 const FIRST_TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(5), Duration::from_secs(10)];
-/// How long before each other one, by the engines that trials have ended: these find out whether engines with other
-/// weights or software run it. Each may cost an engine; after the last of these there is none.
+/// Delays before all other trials, indexed by the number of engines that trials have crashed. These trials find out
+/// whether engines with other weights or other software can run the request. Each may cost an engine, so there are no
+/// more after the last.
 const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(600),
     Duration::from_secs(600),
     Duration::from_secs(86_400),
 ];
-/// A request is forgotten so long after the last end or trial, by all nodes at about the same time: a day after its last
-/// trial its engines are other ones, most likely.
+/// How long a blocked request is kept after its last crash or trial. All nodes drop it at about the same time. One day
+/// after the last trial the engines have most likely been replaced.
 const BLOCKED_RETENTION: Duration = Duration::from_secs(2 * 86_400);
-/// The same for one that is not held back.
+/// How long a request that is not blocked is kept after its last event.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(3_600);
-/// Two requests that ran at so many of the same ends can't be told apart by them.
+/// Two requests that ran at this many common crashes cannot be told apart by them.
 const MIN_SHARED_CRASHES: usize = 2;
-/// Bounds the ends after the last trial, which only nodes add that were out of touch, and those that prove nothing.
+/// Maximum number of crashes kept. Bounds the crashes recorded after the last trial, which only isolated nodes add, and
+/// the unproven ones.
 const MAX_CRASHES: usize = CRASHES_TO_BLOCK_AFTER_SUCCESS + 2 * TRIAL_DELAYS.len();
 
-/// What is known of one request under which engines ended.
+/// Crashes and trials of one request.
 ///
-/// Nodes tell each other their histories, and each merges what it hears into its own. It does not matter in
-/// which order or how often.
+/// Nodes exchange their histories, and each node merges those it receives into its own. The merge does not depend on
+/// the order of the histories or on how often each one is merged.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
-    /// Each another end than the one before it; behind the third only those of much later runs.
+    /// Crashes in order of time, each separate from the one before. After the crash that blocked the request, only
+    /// crashes of much later runs are kept.
     pub crashes: Vec<Crash>,
-    /// When it was last seen to run to a good end: what ended before says nothing of it.
+    /// When a run last succeeded. Earlier crashes are not evidence against the request.
     pub last_success_at: Option<Timestamp>,
-    /// Trials that have begun.
+    /// Number of trials started.
     pub trials: u32,
-    /// When the last of them did.
+    /// When the last trial started.
     pub last_trial_at: Option<Timestamp>,
 }
 
 impl History {
-    /// An engine ended under a run; `false` when this tells nothing new.
+    /// Adds a crash during a run; returns `false` when the history does not change.
     pub fn record_crash(&mut self, crash: Crash) -> bool {
         if self.last_success_at >= Some(crash.ended) {
             return false;
@@ -65,7 +71,7 @@
             if crash.is_unproven || !self.crashes[index].is_unproven {
                 return false;
             }
-            // Another node knows that the engine had not ended before.
+            // Another node knows that the engine had not crashed before the run.
             self.crashes.remove(index);
         }
         self.crashes.push(crash);
@@ -73,14 +79,14 @@
         self.crashes != before
     }
 
-    /// Whether the end of this life of an engine counts already.
+    /// Whether the crash of this incarnation of an engine is already recorded.
     pub fn holds(&self, crash: &Crash) -> bool {
         self.crashes
             .iter()
             .any(|known| known.is_same_incarnation(crash))
     }
 
-    /// A run came to a good end; `false` when this tells nothing new.
+    /// Records a successful run; returns `false` when this removes no crash.
     pub fn record_success(&mut self, at: Timestamp) -> bool {
         if self.last_success_at >= Some(at) {
             return false;
@@ -96,14 +102,14 @@
         has_changed
     }
 
-    /// Takes out the ends of engines that were no ends; tells how many.
+    /// Removes the crashes that turned out to be none; returns how many were removed.
     pub fn remove_crashes(&mut self, is_refuted: impl Fn(&Crash) -> bool) -> usize {
         let count = self.crashes.len();
         self.crashes.retain(|crash| !is_refuted(crash));
         count - self.crashes.len()
     }
 
-    /// Takes in what another node knows; `false` when that is nothing new.
+    /// Merges the history of another node; returns `false` when nothing changes.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut has_changed = other
             .last_success_at
@@ -112,7 +118,7 @@
             && other.is_blocked()
             && self.last_success_at < other.crashes.last().map(|crash| crash.ended)
         {
-            // How the times of its ends lie to each other is known best to the node that told them.
+            // The reporting node knows the relative times of its crashes best.
             self.crashes.clone_from(&other.crashes);
             let last_success_at = self.last_success_at;
             self.crashes
@@ -130,17 +136,17 @@
         has_changed
     }
 
-    /// Whether enough engines have ended under it, one after the other.
+    /// Whether enough engines have crashed separately to block the request.
     pub fn is_blocked(&self) -> bool {
         self.blocked_at().is_some()
     }
 
-    /// Whether one more end is enough.
+    /// Whether one more crash would block the request.
     pub fn is_nearly_blocked(&self) -> bool {
         self.proven().count() + 1 >= self.crashes_to_block()
     }
 
-    /// When the last of these ended.
+    /// Time of the crash that blocked the request.
     pub fn blocked_at(&self) -> Option<Timestamp> {
         let last = self.proven().nth(self.crashes_to_block() - 1)?;
         Some(last.ended)
@@ -153,17 +159,18 @@
         }
     }
 
-    /// Ends of engines that were there when the run began.
+    /// Crashes of engines that were known to be running when the run began.
     fn proven(&self) -> impl DoubleEndedIterator<Item = &Crash> {
         self.crashes.iter().filter(|crash| !crash.is_unproven)
     }
 
-    /// Whether one of its runs may have met an engine that had ended before.
+    /// Whether a run may have reached an engine that had crashed before.
     pub fn has_doubtful_crash(&self) -> bool {
         self.crashes.iter().any(Crash::is_doubtful)
     }
 
-    /// Whether the request may be sent to an engine; it is in doubt when it may only have stood beside another.
+    /// Whether the request may be sent to an engine. `is_ambiguous` states that the crashes may have another cause,
+    /// such as a request that ran beside this one.
     pub fn verdict(&self, is_ambiguous: bool, now: Timestamp) -> Verdict {
         let Some(blocked_at) = self.blocked_at() else {
             return Verdict::Allowed;
@@ -183,28 +190,29 @@
         }
     }
 
-    /// Whether it came to a good end not long before engines began to end under it.
+    /// Whether the request succeeded shortly before its first crash.
     fn succeeded_recently(&self) -> bool {
         let first = self.crashes.first();
         let good = self.last_success_at.zip(first);
         good.is_some_and(|(at, first)| first.ended.since(at) < SUCCESS_RETENTION)
     }
 
-    /// Whether another request ran at some of the same ends.
+    /// Whether another request ran at several of the same crashes.
     pub fn shares_crashes(&self, other: &Self) -> bool {
         let shared = self.crashes.iter().filter(|crash| other.holds(crash));
         shared.count() >= MIN_SHARED_CRASHES
     }
 
-    /// The last end, trial or good end.
+    /// Time of the last crash, trial or success.
     pub fn last_event(&self) -> Option<Timestamp> {
         let ended = self.crashes.iter().map(|crash| crash.ended).max();
         ended.max(self.last_trial_at).max(self.last_success_at)
     }
 
-    /// Whether what happened is so long ago that it is forgotten.
+    /// Whether the last event is so long ago that the history can be dropped.
     ///
-    /// Nodes tell each other the times that this goes by, so that none tells the others again what they have forgotten.
+    /// The decision depends only on times that nodes exchange, so a node that still has the history does not send it
+    /// back to those that dropped it.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         let limit = match self.is_blocked() {
             true => BLOCKED_RETENTION,
@@ -214,18 +222,18 @@
         last.is_some_and(|at| now.since(at) > limit)
     }
 
-    /// Whether it knows what `other` does not.
+    /// Whether this history contains something that `other` lacks.
     pub fn has_updates_for(&self, other: &Self) -> bool {
         other.clone().merge(self)
     }
 
-    /// A trial begins.
+    /// Records the start of a trial.
     pub fn begin_trial(&mut self, now: Timestamp) {
         self.trials += 1;
         self.last_trial_at = Some(now);
     }
 
-    /// How long before the next trial; `None` when there is none.
+    /// Delay before the next trial; `None` when there are no more trials.
     fn trial_delay(&self, blocked_at: Timestamp, is_ambiguous: bool) -> Option<Duration> {
         let since = blocked_at.after(PROPAGATION_TIME);
         let ended = self.crashes.iter().filter(|crash| crash.began > since);
@@ -237,7 +245,8 @@
         }
     }
 
-    /// Keeps the ends that followed each other, and those of runs that began long after.
+    /// Restores the order of the crashes. Keeps those separate from the one before and, once the request is blocked,
+    /// those of runs that began long after.
     fn normalize(&mut self) {
         let mut crashes = std::mem::take(&mut self.crashes);
         crashes.sort_by_key(|crash| crash.ended);
--- a/crates/core/src/poison/mod.rs
+++ b/crates/core/src/poison/mod.rs
@@ -1,9 +1,9 @@
-//! Requests that end the engines that run them, and how they are held back.
+//! Requests that crash the engines that run them, and how they are blocked.
 //!
-//! A request may crash each engine that begins to run it (a query of death). Sent again and again it takes the
-//! engines of a pool away one after the other, with all that runs on them. Every node keeps a [`History`] of
-//! each request under which an engine ended, hears of the ends that other nodes saw, and holds a request back
-//! once three engines have ended under it one after the other. `docs/design/poison.md` has the reasons.
+//! A request may crash every engine that begins to run it (a query of death). When its caller retries it, it takes down
+//! the engines of a pool one by one, along with everything else that runs on them. Every node keeps a [`History`] of
+//! each request during which an engine crashed, receives the crashes that other nodes observed, and blocks the request
+//! after three separate crashes. `docs/design/poison.md` explains the design.
 
 mod crash;
 mod digest;
--- a/crates/core/src/poison/register.rs
+++ b/crates/core/src/poison/register.rs
@@ -1,4 +1,4 @@
-//! The requests under which engines ended.
+//! Crash histories of requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,42 +6,42 @@
 use super::{Crash, Digest, History, Verdict};
 use crate::Timestamp;
 
-/// Most requests that are remembered: some 400 bytes each. Each needs an engine that has ended, so a caller can't
-/// bring many about.
+/// Maximum number of histories kept, at about 400 bytes each. Each requires an engine that has crashed, so a caller
+/// cannot create many of them.
 const MAX_HISTORIES: usize = 1_024;
 
-/// Two requests that ran at the same ends are tried so far apart that only one of them is at the engine which ends, and the
-/// end is known to all nodes before the next trial.
+/// Minimum time between trials of two requests that ran at the same crashes. Only one of them is then running when an
+/// engine crashes, and all nodes know of the crash before the next trial.
 const TRIAL_SEPARATION: Duration = Duration::from_secs(2);
 
-/// The requests under which engines ended, as far as one node knows.
+/// Histories of the requests during which engines crashed, as far as this node knows.
 #[derive(Debug, Default)]
 pub struct Register {
     histories: BTreeMap<Digest, History>,
 }
 
 impl Register {
-    /// Whether there are none, as on most days.
+    /// Whether there are no histories, which is the normal case.
     pub fn is_empty(&self) -> bool {
         self.histories.is_empty()
     }
 
-    /// How many there are.
+    /// Number of histories.
     pub fn count(&self) -> usize {
         self.histories.len()
     }
 
-    /// What is known of a request.
+    /// History of a request.
     pub fn get(&self, digest: Digest) -> Option<&History> {
         self.histories.get(&digest)
     }
 
-    /// Whether a request is held back.
+    /// Whether a request is blocked.
     pub fn is_blocked(&self, digest: Digest) -> bool {
         self.get(digest).is_some_and(History::is_blocked)
     }
 
-    /// What is known of a request, to change it.
+    /// Mutable history of a request.
     pub fn get_mut(&mut self, digest: Digest) -> Option<&mut History> {
         self.histories.get_mut(&digest)
     }
@@ -69,18 +69,18 @@
         }
     }
 
-    /// An engine ended under a run; `false` when this tells nothing new.
+    /// Adds a crash during a run; returns `false` when the history does not change.
     pub fn record_crash(&mut self, digest: Digest, crash: Crash, now: Timestamp) -> bool {
         self.get_or_insert(digest, now).record_crash(crash)
     }
 
-    /// A run came to a good end; `false` when this tells nothing new.
+    /// Records a successful run; returns `false` when this removes no crash.
     pub fn record_success(&mut self, digest: Digest, now: Timestamp) -> bool {
         let history = self.get_mut(digest);
         history.is_some_and(|history| history.record_success(now))
     }
 
-    /// Takes in what another node knows; `false` when that is nothing new.
+    /// Merges the history of another node; returns `false` when nothing changes.
     pub fn merge(&mut self, digest: Digest, remote: &History, now: Timestamp) -> bool {
         let is_known = self.histories.contains_key(&digest);
         if remote.is_expired(now) || (!is_known && remote.crashes.is_empty()) {
@@ -89,19 +89,19 @@
         self.get_or_insert(digest, now).merge(remote)
     }
 
-    /// The requests under which engines ended.
+    /// Requests that have a history.
     pub fn digests(&self) -> impl Iterator<Item = Digest> {
         self.histories.keys().copied()
     }
 
-    /// The requests that are held back.
+    /// Requests that are blocked.
     pub fn blocked(&self) -> impl Iterator<Item = Digest> {
         let histories = self.histories.iter();
         let blocked = histories.filter(|(_, history)| history.is_blocked());
         blocked.map(|(digest, _)| *digest)
     }
 
-    /// Forgets what is long over; tells what it was.
+    /// Drops expired histories; returns their requests.
     pub fn forget(&mut self, now: Timestamp) -> Vec<Digest> {
         let expired = self
             .histories
@@ -116,7 +116,8 @@
         self.histories.entry(digest).or_default()
     }
 
-    /// Forgets what is long over; when that is not enough, first what is not held back.
+    /// Drops expired histories. While the register is still full, drops the history with the oldest last event, those
+    /// of requests that are not blocked first.
     fn make_room(&mut self, now: Timestamp) {
         self.forget(now);
         while self.histories.len() >= MAX_HISTORIES {
--- a/crates/core/src/poison/verdict.rs
+++ b/crates/core/src/poison/verdict.rs
@@ -1,17 +1,17 @@
-//! Whether a request may be sent to an engine.
+//! Decision whether a request may be sent to an engine.
 
 use std::time::Duration;
 
 /// Whether a request may be sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// As any other.
+    /// The request runs like any other.
     Allowed,
-    /// It is held back, but it is time to see whether it still ends its engine.
+    /// The request is blocked, but a trial run is due to find out whether it still crashes its engine.
     Trial,
-    /// It is held back.
+    /// The request is blocked.
     Refused {
-        /// Until the next trial.
+        /// Time until the next trial.
         retry_after: Duration,
     },
 }
--- a/crates/core/src/retry/engine_health.rs
+++ b/crates/core/src/retry/engine_health.rs
@@ -1,4 +1,4 @@
-//! The health of one engine.
+//! Health of one engine.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use super::health_event::HealthEvent;
 use crate::timestamp::Timestamp;
 
-/// Broken answers in a row that eject an engine.
+/// Consecutive failures that eject an engine.
 const FAILURES_TO_EJECT: u32 = 2;
 const FIRST_EJECTION: Duration = Duration::from_millis(250);
 const MAX_EJECTION: Duration = Duration::from_secs(10);
-/// Doublings of the first ejection until the longest is reached.
+/// Number of times the first ejection is doubled before the maximum is reached.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// The lifecycle of an engine as one process sees it: serving, ejected after failures, probed with
-/// a single request once the ejection has run out, and serving again after an answer.
+/// a single request once the ejection has expired, and serving again after a response.
 #[derive(Debug, Default)]
 struct Lifecycle {
     failures_in_a_row: u32,
@@ -35,7 +35,7 @@
                 }
                 self.eject(*at)
             }
-            // Nothing listens there: asking twice would only fail twice.
+            // Nothing listens at the address, so a second attempt would fail as well.
             HealthEvent::Unreachable { at } => self.eject(*at),
             HealthEvent::Answered | HealthEvent::Restarted => self.recover(),
             HealthEvent::ProbeSent | HealthEvent::ProbeInconclusive { .. } => Handled,
@@ -48,7 +48,7 @@
         match event {
             HealthEvent::ProbeSent => Transition(State::probing()),
             HealthEvent::Answered | HealthEvent::Restarted => self.recover(),
-            // Attempts from before the ejection end one by one; they tell nothing new.
+            // Attempts from before the ejection fail one by one; they carry no new information.
             HealthEvent::Failed { .. }
             | HealthEvent::Unreachable { .. }
             | HealthEvent::ProbeInconclusive { .. } => Handled,
@@ -105,17 +105,17 @@
 }
 
 impl EngineHealth {
-    /// Whether it serves normally.
+    /// Whether the engine serves normally.
     pub fn is_serving(&self) -> bool {
         matches!(self.lifecycle.state(), State::Serving {})
     }
 
-    /// Whether its ejection has run out and a single request should find out whether it is back.
+    /// Whether the ejection has expired, so that a single request should probe the engine.
     pub fn is_due_for_probe(&self, now: Timestamp) -> bool {
         matches!(self.lifecycle.state(), State::Ejected { until } if *until <= now)
     }
 
-    /// When its ejection runs out, while it is ejected.
+    /// When the ejection expires; `None` while the engine is not ejected.
     pub fn ejected_until(&self) -> Option<Timestamp> {
         match self.lifecycle.state() {
             State::Ejected { until } => Some(*until),
@@ -123,33 +123,33 @@
         }
     }
 
-    /// It answered.
+    /// Records a response of the engine.
     pub fn answered(&mut self) {
         self.lifecycle.handle(&HealthEvent::Answered);
     }
 
-    /// It could not be reached at all.
+    /// Records that the engine could not be reached.
     pub fn unreachable(&mut self, at: Timestamp) {
         self.lifecycle.handle(&HealthEvent::Unreachable { at });
     }
 
-    /// It broke off, or gave no answer.
+    /// Records that the engine closed the connection early or sent no response.
     pub fn failed(&mut self, at: Timestamp) {
         self.lifecycle.handle(&HealthEvent::Failed { at });
     }
 
-    /// A request was sent to find out whether it is back.
+    /// Records that a request was sent as a probe.
     pub fn probe_sent(&mut self) {
         self.lifecycle.handle(&HealthEvent::ProbeSent);
     }
 
-    /// The probe ended without telling anything, as when its caller left.
+    /// Records that the probe ended without a result, for example because its caller disconnected.
     pub fn probe_inconclusive(&mut self, at: Timestamp) {
         self.lifecycle
             .handle(&HealthEvent::ProbeInconclusive { at });
     }
 
-    /// Another process answered at its address.
+    /// Records that another process answered at the engine's address.
     pub fn restarted(&mut self) {
         self.lifecycle.handle(&HealthEvent::Restarted);
     }
--- a/crates/core/src/retry/health_event.rs
+++ b/crates/core/src/retry/health_event.rs
@@ -1,29 +1,30 @@
-//! What happens to the health of an engine.
+//! Events that change the health of an engine.
 
 use crate::timestamp::Timestamp;
 
-/// What happens to the health of an engine.
+/// Event that changes the health of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthEvent {
-    /// It answered.
+    /// The engine sent a response.
     Answered,
-    /// It could not be reached at all.
+    /// The engine could not be reached.
     Unreachable {
-        /// When.
+        /// When the attempt failed.
         at: Timestamp,
     },
-    /// It broke off, or gave no answer.
+    /// The engine closed the connection early or sent no response.
     Failed {
-        /// When.
+        /// When the attempt failed.
         at: Timestamp,
     },
-    /// An attempt was sent to find out whether it is back.
+    /// An attempt was sent to probe the engine.
     ProbeSent,
-    /// The probe ended without telling anything.
+    /// The probe ended without a result.
     ProbeInconclusive {
-        /// When.
+        /// When the probe ended.
         at: Timestamp,
     },
-    /// Another process answered at its address: what was known of the old one is void.
+    /// Another process answered at the engine's address, so the health of the previous process no
+    /// longer applies.
     Restarted,
 }
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! When a failed attempt may be made again, and which engines are left alone for a while.
+//! When a failed attempt may be retried, and which engines are ejected for a while.
 
 mod engine_health;
 mod health_event;
--- a/crates/core/src/retry/retry_budget.rs
+++ b/crates/core/src/retry/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Retry budget of a process.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 /// Retries that each success earns.
 const RETRIES_PER_SUCCESS: f64 = 0.2;
-/// Retries earned by the passage of time, so that a quiet process may retry as well.
+/// Retries earned per second, so that a process with little traffic can retry as well.
 const RETRIES_PER_SECOND: f64 = 2.0;
 const INITIAL_RETRIES: f64 = 10.0;
 const MAX_RETRIES: f64 = 100.0;
 
 /// Bounds retries to a fraction of successes, so that a failure of many engines does not multiply
-/// the load on the rest.
+/// the load on the others.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     retries: f64,
@@ -20,7 +20,7 @@
 }
 
 impl RetryBudget {
-    /// The budget of a fresh process.
+    /// Budget of a process that has just started.
     pub fn new(now: Timestamp) -> Self {
         Self {
             retries: INITIAL_RETRIES,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// A request succeeded.
+    /// Records a successful request.
     pub fn earn(&mut self) {
         self.retries = (self.retries + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
     }
 
-    /// Takes one retry; `false` when there is none left.
+    /// Takes one retry; returns `false` when there is none left.
     #[must_use]
     pub fn spend(&mut self, now: Timestamp) -> bool {
         self.refill(now);
@@ -44,7 +44,7 @@
         true
     }
 
-    /// How long until the passage of time alone has earned one retry.
+    /// Time until the next retry is earned without further successes.
     pub fn time_to_next_retry(&self) -> Duration {
         let missing = (1.0 - self.retries).max(0.0);
         Duration::from_secs_f64(missing / RETRIES_PER_SECOND)
@@ -52,7 +52,7 @@
 
     fn refill(&mut self, now: Timestamp) {
         let passed = now.since(self.refilled_at).as_secs_f64();
-        // Time alone never fills more than a fresh process has.
+        // Time alone never fills the budget beyond its initial size.
         let earned = (passed * RETRIES_PER_SECOND).min((INITIAL_RETRIES - self.retries).max(0.0));
         self.retries += earned;
         self.refilled_at = now.max(self.refilled_at);
