--- a/crates/core/src/limit/allocator_account.rs
+++ b/crates/core/src/limit/allocator_account.rs
@@ -1,4 +1,4 @@
-//! A tenant's account at a bank.
+//! A tenant's account at an allocator.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 
 use super::{LimitCost, LimitRequest, LimitSettings, TokenBucket};
 
-/// Tickets for a second of traffic may be handed out at once.
+/// Permits for this much traffic may be granted at once.
 const BURST: Duration = Duration::from_secs(1);
 const MILLI: u64 = 1_000;
 
-/// What a bank knows of one borrower.
+/// What an allocator knows of one client.
 #[derive(Debug, Clone, Default)]
 struct ClientRecord {
     serial: u64,
@@ -21,7 +21,8 @@
     reported_at: Timestamp,
 }
 
-/// A tenant's account at a bank: its part of the limits, and who holds streams.
+/// A tenant's account at an allocator: the allocator's share of the limits, and the streams that
+/// clients hold.
 #[derive(Debug, Clone)]
 pub(super) struct AllocatorAccount {
     requests: Option<TokenBucket>,
@@ -33,7 +34,7 @@
 }
 
 impl AllocatorAccount {
-    /// An account of a bank that has handed out no ticket of it since `opened_at`.
+    /// Opens the account of an allocator that has granted no permits from it since `opened_at`.
     pub fn new(opened_at: Timestamp, now: Timestamp) -> Self {
         Self {
             requests: None,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Sets this bank's part of the limits; `share` gives the part of a whole.
+    /// Sets this allocator's share of the limits; `share` returns its share of a total.
     pub fn set_limits(
         &mut self,
         limits: &TenantLimits,
@@ -62,12 +63,13 @@
             .map(|limit| share(u64::from(limit)));
     }
 
-    /// When it was last asked of.
+    /// When a client last sent a request to this account.
     pub fn used_at(&self) -> Timestamp {
         self.used_at
     }
 
-    /// Notes what the ask says of running streams; whether it is newer than all before.
+    /// Records the streams that the request reports as held. Returns whether the request is newer
+    /// than all earlier ones of the client.
     pub fn record_report(
         &mut self,
         from: &NodeName,
@@ -85,7 +87,7 @@
         true
     }
 
-    /// Grants what there is of what is wanted.
+    /// Grants as much as possible of what is wanted.
     pub fn grant(
         &mut self,
         from: &NodeName,
@@ -121,7 +123,8 @@
         let Some(limit) = self.streams else {
             return wanted;
         };
-        // After a restart the bank first hears, from each borrower, of the streams that run.
+        // After a restart the allocator first waits until each client has reported its running
+        // streams.
         if now < self.opened_at.after(settings.renew_interval * 2) {
             return 0;
         }
--- a/crates/core/src/limit/allocator_authority.rs
+++ b/crates/core/src/limit/allocator_authority.rs
@@ -1,4 +1,4 @@
-//! Authority of a bank in one group.
+//! Authority of an allocator in one group.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,17 @@
 
 use super::LimitSettings;
 
-/// Authority of a bank in one group.
+/// Authority of an allocator in one group.
 ///
-/// A bank hands out tickets only while a majority of its group has lately confirmed its epoch. So
-/// a bank that was replaced but can't hear of it stops, and after as long its successor may start.
+/// An allocator grants permits only while a majority of its group has recently confirmed its epoch.
+/// An allocator that was replaced while it was isolated therefore stops granting, and its successor
+/// may start after the same time.
 #[derive(Debug, Clone)]
 pub(super) struct AllocatorAuthority {
     group: KeeperGroup,
-    /// Banks of the epoch before, whose shares still bound this bank's until the time, and for
-    /// good while the change is not settled. Without banks nothing is handed out.
+    /// Allocators of the previous epoch, whose shares still bound those of this allocator until the
+    /// given time, or indefinitely while the change of the group is not completed. With an empty
+    /// list nothing is granted.
     bounded_by: Option<(Vec<NodeName>, Option<Timestamp>)>,
     round: u64,
     requested_at: Timestamp,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Takes a new state of the group.
+    /// Applies a new state of the group.
     pub fn adopt(&mut self, group: &KeeperGroup, settings: &LimitSettings, now: Timestamp) {
         if *group == self.group {
             return;
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Since when nothing but its own group bounds this bank's shares; `now` while more does.
+    /// Since when this allocator's shares are bounded only by its own group; `now` while they are
+    /// bounded further.
     pub fn unbounded_since(&self, now: Timestamp) -> Timestamp {
         match &self.bounded_by {
             Some((_, Some(until))) => now.min(*until),
@@ -71,17 +74,17 @@
         }
     }
 
-    /// The epoch.
+    /// Epoch of the group.
     pub fn epoch(&self) -> u64 {
         self.group.epoch
     }
 
-    /// Whether tickets may be handed out now.
+    /// Whether permits may be granted now.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         now < self.valid_until
     }
 
-    /// Sets of banks whose smallest share counts.
+    /// Sets of allocators to compute a share from; the smallest share applies.
     pub fn allocator_sets(&self, now: Timestamp) -> Vec<&[NodeName]> {
         let mut sets = vec![self.group.keepers.as_slice()];
         if let Some((allocators, until)) = &self.bounded_by
@@ -92,7 +95,7 @@
         sets
     }
 
-    /// Banks to ask for confirmation, when it is time to.
+    /// Starts a round of confirmations when one is due; returns the allocators to ask.
     pub fn start_round(
         &mut self,
         own_name: &NodeName,
@@ -120,7 +123,7 @@
         self.round
     }
 
-    /// Takes a confirmation; it counts from when the round was started.
+    /// Applies a confirmation. It is valid from the start of the round.
     pub fn confirm(&mut self, from: NodeName, epoch: u64, round: u64, settings: &LimitSettings) {
         if round != self.round || epoch != self.group.epoch || !self.voters().contains(&from) {
             return;
@@ -131,7 +134,8 @@
         }
     }
 
-    /// While a change is not settled only a majority of the banks before ends their authority.
+    /// Allocators whose majority must confirm the epoch. Until a change is completed these are the
+    /// previous ones, because only a majority of them ends their authority.
     fn voters(&self) -> &[NodeName] {
         if self.group.previous.is_empty() {
             &self.group.keepers
--- a/crates/core/src/limit/allocator_share.rs
+++ b/crates/core/src/limit/allocator_share.rs
@@ -1,11 +1,11 @@
-//! Split of a limit over banks.
+//! Division of a limit between allocators.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::claim::{ClaimRoster, KeeperGroup};
 use crate::identity::{NodeName, TenantName};
 
-/// Position and group of the banks of a tenant; `None` while there are no keepers.
+/// Index and group of the allocators of a tenant; `None` while there are no keepers.
 pub fn allocator_group<'a>(
     roster: &'a ClaimRoster,
     tenant: &TenantName,
@@ -18,8 +18,9 @@
     Some((index, &roster.groups[index]))
 }
 
-/// The part of `limit` that `allocator` hands out, one of `allocators`: equal parts, the remainder one each
-/// to the first by a hash that differs between tenants. The parts add up to the limit.
+/// The share of `limit` that `allocator` grants, as one of `allocators`. Shares are equal; the
+/// remainder goes to the first allocators, one each, in an order that is hashed per tenant. The
+/// shares add up to the limit.
 pub fn allocator_share(
     limit: u64,
     allocators: &[NodeName],
--- a/crates/core/src/limit/client_account.rs
+++ b/crates/core/src/limit/client_account.rs
@@ -1,4 +1,4 @@
-//! A tenant's tickets in one router process.
+//! A tenant's permits in one router process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::{LimitCost, LimitSettings};
 
-/// An ask on its way.
+/// A request to an allocator that has not been answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
     pub allocator: NodeName,
@@ -17,23 +17,23 @@
     pub wanted: LimitCost,
     pub min_tokens: u64,
     pub requested_at: Timestamp,
-    /// Banks still to be asked when this one has too little.
+    /// Allocators to ask next if this one grants too little.
     pub next_allocators: Vec<NodeName>,
 }
 
-/// A tenant's tickets in one router process.
+/// A tenant's permits in one router process.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ClientAccount {
     requests: u64,
     tokens: u64,
     permits_until: Timestamp,
-    /// Streams that may run, by the bank that counts them.
+    /// Streams that may run, by the allocator that counts them.
     pub streams_held: BTreeMap<NodeName, u64>,
     pub streams_running: u64,
     pub pending: Option<PendingRequest>,
     pub renew_at: Timestamp,
     pub denied_until: Timestamp,
-    /// Demand, also refused, of the running second and of the one before.
+    /// Demand of the current window and of the one before, including refused requests.
     demand: LimitCost,
     spent: LimitCost,
     demand_before: LimitCost,
@@ -56,7 +56,7 @@
         self.demand.tokens += cost.tokens;
     }
 
-    /// Drops tickets whose time is over.
+    /// Drops permits that have expired.
     pub fn drop_expired(&mut self, now: Timestamp) {
         if now >= self.permits_until {
             self.requests = 0;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes tickets for a request, if all are there.
+    /// Takes the permits for a request if all of them are available.
     pub fn spend(&mut self, limits: &TenantLimits, cost: &LimitCost, now: Timestamp) -> bool {
         self.drop_expired(now);
         let requests_short = limits.requests_per_second.is_some() && self.requests < cost.requests;
@@ -82,7 +82,7 @@
         true
     }
 
-    /// What to ask for so that a request of `cost` can run, and traffic like that of late.
+    /// What to request so that a request of `cost` can run, and as much traffic as recently.
     pub fn wanted(&self, limits: &TenantLimits, cost: &LimitCost) -> LimitCost {
         let have = LimitCost {
             requests: self.requests,
@@ -112,7 +112,7 @@
         wanted
     }
 
-    /// Adds granted tickets; they lapse `validity` after `requested_at`.
+    /// Adds granted permits, which expire `validity` after `requested_at`.
     pub fn deposit(
         &mut self,
         allocator: &NodeName,
@@ -123,7 +123,7 @@
         let until = requested_at.after(validity);
         let has_permits = self.requests > 0 || self.tokens > 0;
         if granted.requests > 0 || granted.tokens > 0 {
-            // Older tickets must not outlive their time by those that come after.
+            // New permits must not extend the validity of older ones.
             self.permits_until = if has_permits {
                 self.permits_until.min(until)
             } else {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Gives back streams that don't run to the banks; the next ask tells them.
+    /// Returns streams that are not running to the allocators; the next request reports it to them.
     pub fn release_spare_streams(&mut self) {
         let mut spare = self.held().saturating_sub(self.streams_running);
         for held in self.streams_held.values_mut() {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Lets `successor` count the streams of banks that are none any more.
+    /// Assigns to `successor` the streams of allocators that are no longer in the group.
     pub fn reassign(&mut self, allocators: &[NodeName], successor: &NodeName) {
         let mut orphaned = 0;
         self.streams_held.retain(|allocator, held| {
--- a/crates/core/src/limit/limit_allocator.rs
+++ b/crates/core/src/limit/limit_allocator.rs
@@ -1,4 +1,4 @@
-//! The bank of tenant limits.
+//! Allocator of tenant limits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
     LimitSettings, allocator_group, allocator_share,
 };
 
-/// An account that nobody asked of for so long is forgotten; longer than streams are held.
+/// How long an account without requests is kept. It is longer than streams are retained.
 const IDLE_ACCOUNT_RETENTION: Duration = Duration::from_secs(1_200);
 
-/// Hands out tickets of this process's part of the limits of some tenants.
+/// Grants permits from this process's share of the limits of some tenants.
 ///
-/// Invariant: over any time of w seconds the banks of a tenant together hand out at most its limit
-/// for w + 1 seconds, and one request and one prompt more each.
+/// Invariant: in any period of w seconds, the allocators of a tenant together grant at most its
+/// limit for w + 1 seconds, plus one request and one prompt per allocator.
 #[derive(Debug, Clone)]
 pub struct LimitAllocator {
     name: NodeName,
@@ -29,7 +29,7 @@
     catalog: Arc<Catalog>,
     authorities: BTreeMap<usize, AllocatorAuthority>,
     accounts: BTreeMap<TenantName, AllocatorAccount>,
-    /// Asks that wait until a majority of banks has confirmed this one.
+    /// Requests that wait until a majority of the group has confirmed this allocator.
     waiting: Vec<WaitingRequest>,
     next_cleanup_at: Timestamp,
 }
@@ -42,7 +42,7 @@
 }
 
 impl LimitAllocator {
-    /// A bank in the process `name`.
+    /// Creates the allocator of the process `name`.
     pub fn new(name: NodeName, settings: LimitSettings) -> Self {
         Self {
             name,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Accounts held now.
+    /// Number of open accounts.
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Takes an event and appends the messages to send.
+    /// Handles an event and appends the messages to send.
     pub fn handle(
         &mut self,
         event: LimitAllocatorEvent,
@@ -120,7 +120,8 @@
         }
     }
 
-    /// A process that left the group answers as well: its word that the epoch moved on counts.
+    /// Confirms the epoch of a group. A process that has left the group answers as well, because
+    /// its answer shows whether the epoch has advanced.
     fn confirm_epoch(
         &self,
         from: NodeName,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Whether an ask can be answered now; one about a tenant that is not kept here always can.
+    /// Whether a request can be answered now. Requests for tenants of other groups always can.
     fn is_authorized(&self, tenant: &TenantName, now: Timestamp) -> bool {
         allocator_group(&self.catalog.claim_roster, tenant)
             .and_then(|(index, _)| self.authorities.get(&index))
--- a/crates/core/src/limit/limit_allocator_event.rs
+++ b/crates/core/src/limit/limit_allocator_event.rs
@@ -1,4 +1,4 @@
-//! What happens to a bank.
+//! Events of an allocator.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use super::LimitMessage;
 
-/// What happens to a [`super::LimitAllocator`].
+/// Events that a [`super::LimitAllocator`] handles.
 #[derive(Debug, Clone)]
 pub enum LimitAllocatorEvent {
     /// A message of another process, or of this one, arrived.
@@ -17,6 +17,6 @@
         /// The message.
         message: LimitMessage,
     },
-    /// A new configuration is in force: limits and keeper groups.
+    /// A new configuration with limits and keeper groups is in force.
     CatalogChanged(Arc<Catalog>),
 }
--- a/crates/core/src/limit/limit_client.rs
+++ b/crates/core/src/limit/limit_client.rs
@@ -1,4 +1,4 @@
-//! The borrowing side of tenant limits.
+//! Client of tenant limits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,14 +16,15 @@
     allocator_group,
 };
 
-/// A tenant without traffic for so long is forgotten.
+/// How long the account of a tenant without traffic is kept.
 const IDLE_ACCOUNT_RETENTION: Duration = Duration::from_secs(60);
-/// Banks are told for so long after the last request that no stream runs: reports may be lost.
+/// How long after the last request allocators receive reports that no stream runs. They are
+/// repeated because one may be lost.
 const IDLE_REPORT_TIME: Duration = Duration::from_secs(10);
 
-/// Spends, in one router process, only tickets that banks have handed out to it.
+/// Spends, in one router process, only permits that allocators have granted to it.
 ///
-/// Asks nothing for tenants without traffic or without limits.
+/// Sends nothing for tenants without traffic or without limits.
 #[derive(Debug, Clone)]
 pub struct LimitClient {
     name: NodeName,
@@ -34,8 +35,8 @@
 }
 
 impl LimitClient {
-    /// A borrower in the process `name`; `started_at` makes its asks newer than those of an
-    /// earlier process of the name.
+    /// Creates the client of the process `name`. `started_at` makes its requests newer than those
+    /// of an earlier process of the same name.
     pub fn new(name: NodeName, started_at: Timestamp, settings: LimitSettings) -> Self {
         Self {
             name,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Takes the configuration in force.
+    /// Applies the configuration in force.
     pub fn adopt(&mut self, catalog: Arc<Catalog>) {
         self.catalog = catalog;
         let tenants: Vec<TenantName> = self.accounts.keys().cloned().collect();
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Counts a request of `tenant` against its limits, if there are tickets; asks for some if not.
+    /// Counts a request of `tenant` against its limits if permits are available, and otherwise
+    /// requests more.
     pub fn try_spend(
         &mut self,
         tenant: &TenantName,
@@ -76,7 +78,8 @@
         self.spend_or_request(tenant, &limits, cost, now, sends)
     }
 
-    /// Tries again for a request that was told to wait, without counting its demand again.
+    /// Tries again for a request that got [`LimitDecision::Waiting`], without counting its demand
+    /// again.
     pub fn retry(
         &mut self,
         tenant: &TenantName,
@@ -119,14 +122,14 @@
         LimitDecision::Waiting
     }
 
-    /// A stream that [`Self::try_spend`] or [`Self::retry`] allowed is over.
+    /// Records the end of a stream that [`Self::try_spend`] or [`Self::retry`] allowed.
     pub fn stream_ended(&mut self, tenant: &TenantName) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.streams_running = account.streams_running.saturating_sub(1);
         }
     }
 
-    /// Takes a bank's grant.
+    /// Handles a grant of an allocator.
     pub fn receive(
         &mut self,
         from: &NodeName,
@@ -142,7 +145,7 @@
             .pending
             .as_ref()
             .is_some_and(|pending| pending.serial == grant.serial && pending.allocator == *from);
-        // Any other grant is void: its bank may have counted these streams as given back.
+        // Any other grant is void: the allocator may already have counted its streams as returned.
         if !answers_pending {
             return;
         }
@@ -162,7 +165,7 @@
         );
     }
 
-    /// Lets time pass: gives up on banks that don't answer, and reports running streams.
+    /// Handles time-outs: gives up on allocators that do not answer, and reports running streams.
     pub fn tick(&mut self, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
         let tenants: Vec<TenantName> = self.accounts.keys().cloned().collect();
         for tenant in &tenants {
@@ -182,7 +185,8 @@
         (limits != TenantLimits::default()).then_some(limits)
     }
 
-    /// Banks of a tenant, the first one to ask first; each process starts at another.
+    /// Allocators of a tenant in the order in which this process asks them. The order differs
+    /// between processes.
     fn allocators(&self, tenant: &TenantName) -> Vec<NodeName> {
         let roster = &self.catalog.claim_roster;
         let Some((_, group)) = allocator_group(roster, tenant) else {
@@ -278,7 +282,7 @@
             return;
         };
         if pending.wanted.streams > 0 {
-            // The bank may count streams whose grant was lost: reports correct it.
+            // The allocator may count streams whose grant was lost; the reports correct its count.
             account.streams_held.entry(pending.allocator).or_default();
         }
         let min_tokens = pending.min_tokens;
@@ -292,7 +296,7 @@
         );
     }
 
-    /// Reports, to every bank that counts streams of this process, how many it holds.
+    /// Reports to every allocator that counts streams of this process how many the process holds.
     fn renew(&mut self, tenant: &TenantName, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
         let renew_at = now.after(self.settings.renew_interval);
         let Some(account) = self.accounts.get_mut(tenant) else {
--- a/crates/core/src/limit/limit_cost.rs
+++ b/crates/core/src/limit/limit_cost.rs
@@ -1,23 +1,23 @@
-//! What a request takes of a limit.
+//! Cost of a request in units of a limit.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests, tokens and streams: what a request takes, what a process asks for or gets.
+/// Requests, tokens and streams: the cost of a request, or what a process requests or is granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LimitCost {
-    /// Requests.
+    /// Number of requests.
     #[serde(rename = "r", default)]
     pub requests: u64,
-    /// Prompt and output tokens (estimate).
+    /// Estimated prompt and output tokens.
     #[serde(rename = "t", default)]
     pub tokens: u64,
-    /// Streams at once.
+    /// Number of concurrent streams.
     #[serde(rename = "s", default)]
     pub streams: u64,
 }
 
 impl LimitCost {
-    /// What one request of `tokens` tokens takes.
+    /// Cost of one request of `tokens` tokens.
     pub fn of_request(tokens: u64) -> Self {
         Self {
             requests: 1,
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Whether nothing is asked for.
+    /// Whether all amounts are zero.
     pub fn is_zero(&self) -> bool {
         *self == Self::default()
     }
 
-    /// What is left of this after `other` was had.
+    /// The remainder after subtracting `other`, at least zero.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
--- a/crates/core/src/limit/limit_decision.rs
+++ b/crates/core/src/limit/limit_decision.rs
@@ -5,14 +5,14 @@
 /// Whether a request is within its tenant's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitDecision {
-    /// It is, and was counted; a stream must be given back with
+    /// The request is within the limits and was counted. Its stream must be returned with
     /// [`super::LimitClient::stream_ended`].
     Allowed,
-    /// Tickets have been asked for; try again when a grant arrives or a few milliseconds later.
+    /// Permits have been requested; try again when a grant arrives or a few milliseconds later.
     Waiting,
-    /// The limit is spent.
+    /// The limit is used up.
     Denied {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
--- a/crates/core/src/limit/limit_grant.rs
+++ b/crates/core/src/limit/limit_grant.rs
@@ -1,4 +1,4 @@
-//! Tickets of a tenant's limit.
+//! Permits granted from a tenant's limit.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,13 +6,13 @@
 
 use super::LimitCost;
 
-/// A bank's answer to a [`super::LimitRequest`].
+/// An allocator's answer to a [`super::LimitRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitGrant {
     /// The tenant.
     #[serde(rename = "n")]
     pub tenant: TenantName,
-    /// Serial of the ask; a grant to any but the last ask is void.
+    /// Serial number of the request. A grant to any other than the last request is void.
     #[serde(rename = "q")]
     pub serial: u64,
     /// What is granted; at most what was wanted.
--- a/crates/core/src/limit/limit_message.rs
+++ b/crates/core/src/limit/limit_message.rs
@@ -8,32 +8,32 @@
 /// A message about limits between router processes.
 #[derive(Debug, Clone, PartialEq, Eq, From, Serialize, Deserialize)]
 pub enum LimitMessage {
-    /// To a bank: tickets wanted.
+    /// Requests permits from an allocator.
     #[serde(rename = "a")]
     Request(LimitRequest),
-    /// From a bank: tickets granted.
+    /// Grants permits to a client.
     #[serde(rename = "g")]
     Grant(LimitGrant),
-    /// To another bank of the group: confirm that the group is at this epoch.
+    /// Asks another allocator of the group to confirm the group's epoch.
     #[from(skip)]
     #[serde(rename = "p")]
     Ping {
-        /// Position of the group in the roster.
+        /// Index of the group in the roster.
         group: usize,
-        /// The epoch.
+        /// Epoch known to the sender.
         epoch: u64,
-        /// Number of the question.
+        /// Number of the confirmation round.
         round: u64,
     },
-    /// From another bank of the group: the group is at this epoch.
+    /// Answers a ping with the epoch of the group.
     #[from(skip)]
     #[serde(rename = "o")]
     Pong {
-        /// Position of the group in the roster.
+        /// Index of the group in the roster.
         group: usize,
-        /// The epoch.
+        /// Epoch known to the sender.
         epoch: u64,
-        /// Number of the question.
+        /// Number of the confirmation round.
         round: u64,
     },
 }
--- a/crates/core/src/limit/limit_request.rs
+++ b/crates/core/src/limit/limit_request.rs
@@ -1,4 +1,4 @@
-//! Ask for tickets.
+//! Request for permits.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,22 +6,25 @@
 
 use super::LimitCost;
 
-/// Asks a bank for tickets of a tenant's limit, and says how many of its streams run.
+/// Requests permits of a tenant's limit from an allocator and reports the streams that the process
+/// holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRequest {
     /// The tenant.
     #[serde(rename = "n")]
     pub tenant: TenantName,
-    /// Rises with each ask of the process; a bank ignores all but newer ones.
+    /// Increases with each request of the process; an allocator ignores requests that are not
+    /// newer.
     #[serde(rename = "q")]
     pub serial: u64,
     /// What is wanted.
     #[serde(flatten)]
     pub wanted: LimitCost,
-    /// Tokens of the request that waits: fewer are of no use.
+    /// Tokens of the waiting request. A smaller grant is of no use.
     #[serde(rename = "m", default)]
     pub min_tokens: u64,
-    /// Streams that the process holds of this bank; the bank's own count is corrected by it.
+    /// Streams that the process holds from this allocator; the allocator corrects its own count by
+    /// it.
     #[serde(rename = "h", default)]
     pub streams_held: u64,
 }
--- a/crates/core/src/limit/limit_settings.rs
+++ b/crates/core/src/limit/limit_settings.rs
@@ -5,19 +5,19 @@
 /// Settings of tenant limits; the same on every router process of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Unspent tickets lapse this long after they were asked for.
+    /// Time after which unspent permits expire, counted from their request.
     pub permit_validity: Duration,
-    /// Traffic of this long a time is asked for ahead.
+    /// Duration of the traffic for which permits are requested in advance.
     pub prefetch: Duration,
-    /// How long a borrower waits for one bank.
+    /// How long a client waits for one allocator.
     pub request_timeout: Duration,
-    /// How long a bank may hand out tickets after a majority of its group last confirmed it.
+    /// How long an allocator may grant permits after a majority of its group last confirmed it.
     pub authority_validity: Duration,
-    /// Time between two reports of running streams to a bank.
+    /// Interval of the reports of running streams to an allocator.
     pub renew_interval: Duration,
-    /// A bank counts streams of a silent process for this long: longer than streams last.
+    /// How long an allocator counts the streams of a silent process; longer than streams last.
     pub stream_retention: Duration,
-    /// What a caller is told to wait when the limit is spent.
+    /// Retry-After time for a caller whose limit is used up.
     pub retry_after: Duration,
 }
 
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -1,10 +1,11 @@
-//! Limits of tenants, held over all router processes together.
+//! Tenant limits, enforced over all router processes together.
 //!
-//! A limit is split over a few banks (the tenant's group of keepers). A [`LimitAllocator`] hands out
-//! tickets from its part, and a [`LimitClient`] in each router process spends only tickets it
-//! has, so the limit holds however the network is cut. Pairs of process and tenant without traffic
-//! exchange nothing. After the idea of moved quota in kuilt BoundedCounter;
-//! `docs/design/tenant-limits.md` compares it with a static split and a central count.
+//! A limit is divided between a few allocators, which are the keepers of the tenant's group. A
+//! [`LimitAllocator`] grants permits from its share, and a [`LimitClient`] in each router process
+//! spends only permits that it has, so the limit holds under any network partition. A process
+//! exchanges no messages about a tenant without traffic. The design follows the quota transfer of
+//! kuilt's BoundedCounter; `docs/design/tenant-limits.md` compares it with a static split and a
+//! central count.
 
 mod allocator_account;
 mod allocator_authority;
--- a/crates/core/src/limit/token_bucket.rs
+++ b/crates/core/src/limit/token_bucket.rs
@@ -6,21 +6,22 @@
 
 const MICROS: i128 = 1_000_000;
 
-/// A bucket that fills at a rate and holds what fills in `burst`, at least one token.
+/// A bucket that fills at a rate and holds what accumulates in `burst`, but at least one token.
 ///
-/// One take larger than the bucket is allowed when it is full, and leaves a debt.
+/// A full bucket allows a single take of more than it holds, which leaves a debt.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
-    /// Tokens in millionths; negative is debt.
+    /// Level in millionths of a token; negative while there is a debt.
     level: i128,
-    /// Thousandths of a token a second.
+    /// Rate in thousandths of a token per second.
     rate_milli: u64,
     burst: Duration,
     filled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// An empty bucket that fills at `rate_milli` thousandths of a token a second from `now` on.
+    /// Creates an empty bucket that fills at `rate_milli` thousandths of a token per second from
+    /// `now` on.
     pub fn empty(rate_milli: u64, burst: Duration, now: Timestamp) -> Self {
         Self {
             level: 0,
@@ -30,14 +31,14 @@
         }
     }
 
-    /// Changes the rate from `now` on; what a smaller bucket can't hold is lost.
+    /// Changes the rate from `now` on; tokens beyond the new capacity are lost.
     pub fn set_rate(&mut self, rate_milli: u64, now: Timestamp) {
         self.fill(now);
         self.rate_milli = rate_milli;
         self.level = self.level.min(self.capacity());
     }
 
-    /// Takes up to `wanted` whole tokens and returns how many.
+    /// Takes up to `wanted` whole tokens and returns how many were taken.
     pub fn take(&mut self, wanted: u64, now: Timestamp) -> u64 {
         self.fill(now);
         let available = u64::try_from(self.level / MICROS).unwrap_or_default();
@@ -46,7 +47,7 @@
         taken
     }
 
-    /// When the bucket holds a whole token, `now` at the earliest; `None` when it never will.
+    /// When the bucket holds a whole token, `now` at the earliest; `None` if it never will.
     pub fn next_at(&self, now: Timestamp) -> Option<Timestamp> {
         let missing = MICROS - self.level;
         let wait_micros = match self.rate_milli {
@@ -58,8 +59,8 @@
         Some(self.filled_at.after(wait).max(now))
     }
 
-    /// Takes up to `wanted` whole tokens, but none if that is fewer than `minimum`; a full bucket
-    /// gives `minimum` even if it does not hold as many, and owes the rest.
+    /// Takes up to `wanted` whole tokens, but none if that is fewer than `minimum`. A full bucket
+    /// gives `minimum` even if it holds less, and keeps the rest as a debt.
     pub fn take_at_least(&mut self, minimum: u64, wanted: u64, now: Timestamp) -> u64 {
         self.fill(now);
         let needed = i128::from(minimum) * MICROS;
