--- a/crates/core/src/admission/engine_window.rs
+++ b/crates/core/src/admission/engine_window.rs
@@ -1,34 +1,36 @@
-//! How many requests of this process an engine may hold at once.
+//! Concurrency window of this process at one engine.
 
 use std::time::Duration;
 
 use crate::dispatch::Priority;
 use crate::timestamp::Timestamp;
 
-/// Window of a fresh engine.
+/// Window of an engine without measurements.
 const INITIAL_SIZE: f64 = 128.0;
-/// A window never closes wholly, or nothing would tell that the engine has room again.
+/// Minimum window. A window never closes completely, because only further responses can show that
+/// the engine has room again.
 const MIN_SIZE: f64 = 1.0;
 const MAX_SIZE: f64 = 4_096.0;
-/// Factor for an engine in which requests wait.
-const DECREASE: f64 = 0.85;
-/// Factor for an engine that refused a request as overloaded.
-const DECREASE_ON_REFUSAL: f64 = 0.5;
-/// Decreases closer together answer the same congestion and count once.
+/// Factor applied to the window when requests wait in the engine.
+const DECREASE_FACTOR: f64 = 0.85;
+/// Factor applied to the window when the engine refuses a request as overloaded.
+const DECREASE_FACTOR_ON_REFUSAL: f64 = 0.5;
+/// Minimum interval between decreases. Signals that follow more closely are caused by the same
+/// congestion and count once.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(250);
-/// Share of the window that batch work may fill, so that interactive work finds room.
+/// Share of the window that batch requests may fill, so that interactive requests find room.
 const BATCH_SHARE: f64 = 0.75;
 
 /// How many requests of this process an engine may hold at once: additive increase, multiplicative
-/// decrease on what answers tell in-band.
+/// decrease by what responses report.
 ///
 /// Every process sees only its own part of an engine's load, and load reports lag. Windows that
-/// shrink wherever waiting is seen and grow slowly elsewhere let processes that know nothing of
-/// each other share an engine without overfilling it.
+/// shrink wherever requests wait and grow slowly elsewhere let processes share an engine without
+/// overloading it, although they know nothing of each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineWindow {
     size: f64,
-    /// Until the first decrease the window grows by one for each answer.
+    /// Until the first decrease the window grows by one for each response.
     is_starting: bool,
     decreased_at: Option<Timestamp>,
 }
@@ -44,7 +46,7 @@
 }
 
 impl EngineWindow {
-    /// Requests it lets through at once.
+    /// Number of requests that the window admits at once.
     pub fn size(&self) -> u32 {
         self.size as u32
     }
@@ -58,19 +60,20 @@
         f64::from(in_flight) + 1.0 <= limit
     }
 
-    /// An answer told how many requests wait in the engine.
+    /// Records the number of requests that wait in the engine according to a response.
     pub fn observe(&mut self, waiting: u32, tolerated: u32, in_flight: u32, now: Timestamp) {
         if waiting > tolerated {
-            self.decrease(DECREASE, now);
+            self.decrease(DECREASE_FACTOR, now);
         } else if f64::from(in_flight) * 2.0 >= self.size {
-            // Only a window that is used may grow, or it would say nothing of the engine.
+            // Only a window that is at least half full may grow; otherwise its size would not
+            // depend on the engine.
             self.increase();
         }
     }
 
-    /// The engine refused a request as overloaded.
+    /// Records that the engine refused a request as overloaded.
     pub fn refused(&mut self, now: Timestamp) {
-        self.decrease(DECREASE_ON_REFUSAL, now);
+        self.decrease(DECREASE_FACTOR_ON_REFUSAL, now);
     }
 
     fn increase(&mut self) {
--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -1,4 +1,4 @@
-//! A queue that is fair among tenants.
+//! Queue that is fair among tenants.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,28 +15,29 @@
 
 /// A queue that is fair among tenants by weight (start-time fair queueing).
 ///
-/// Each tenant's requests take turns on a virtual clock that moves on by cost ÷ weight. A tenant
-/// that was idle starts at the current virtual time: it neither saves up turns nor owes any.
+/// Tenants take turns by a virtual clock; each request advances its tenant's start time by cost ÷
+/// weight. A tenant that was idle starts at the current virtual time, so it neither accumulates
+/// turns nor owes any.
 #[derive(Debug, Clone, Default)]
 pub struct FairQueue {
-    /// Tenants with waiting requests, and those whose turns lie ahead of the virtual clock.
+    /// Tenants with waiting requests, and those whose next turn lies ahead of the virtual clock.
     tenants: BTreeMap<TenantName, TenantQueue>,
     virtual_now: f64,
     len: usize,
 }
 
 impl FairQueue {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds a request behind those of its tenant.
+    /// Appends a request to those of its tenant.
     pub fn push(&mut self, request: QueuedRequest) {
         let virtual_now = self.virtual_now;
         let tenant = self.tenants.entry(request.tenant.clone()).or_default();
@@ -47,13 +48,13 @@
         self.len += 1;
     }
 
-    /// The request whose turn it is.
+    /// The next request in turn.
     pub fn first(&self) -> Option<&QueuedRequest> {
         let tenant = self.next_tenant()?;
         self.tenants[tenant].requests.front()
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes and returns the next request in turn.
     pub fn take_first(&mut self) -> Option<QueuedRequest> {
         let name = self.next_tenant()?.clone();
         let tenant = self.tenants.get_mut(&name)?;
@@ -66,7 +67,7 @@
         Some(request)
     }
 
-    /// Takes out the newest request of the tenant with most waiting, to make room.
+    /// Removes the newest request of the tenant with the most waiting requests, to make room.
     pub fn evict_newest_of_longest(&mut self) -> Option<QueuedRequest> {
         let name = self
             .tenants
@@ -78,7 +79,7 @@
         Some(request)
     }
 
-    /// Takes one request out, if it waits here.
+    /// Removes one request if it waits here.
     pub fn remove(&mut self, tenant: &TenantName, request: &RequestId) -> Option<QueuedRequest> {
         let queue = &mut self.tenants.get_mut(tenant)?.requests;
         let position = queue.iter().position(|queued| queued.request == *request)?;
@@ -102,7 +103,7 @@
             .map(|(name, _)| name)
     }
 
-    /// Forgets tenants that have nothing waiting and owe no turns.
+    /// Removes tenants that have no waiting requests and owe no turns.
     fn remove_idle_tenants(&mut self) {
         let virtual_now = self.virtual_now;
         self.tenants
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,5 +1,5 @@
-//! When a request may start: windows that keep engines from being overfilled, the bounded queue
-//! of those that must wait, and its order.
+//! When a request may start: concurrency windows that protect engines from overload, and the
+//! bounded queue of waiting requests with its order.
 
 mod engine_window;
 mod fair_queue;
--- a/crates/core/src/admission/queue_limits.rs
+++ b/crates/core/src/admission/queue_limits.rs
@@ -5,13 +5,16 @@
 /// Bounds of the queue of one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub capacity: usize,
-    /// Most batch requests that wait; the rest of the capacity is kept for interactive ones.
+    /// Maximum number of waiting batch requests; the rest of the capacity is reserved for
+    /// interactive requests.
     pub batch_capacity: usize,
-    /// After this long, batch work takes its turn with interactive work, so that it never starves.
+    /// Waiting time after which a batch request is promoted: it then takes turns with interactive
+    /// requests, so that it never starves.
     pub batch_promotion: Duration,
-    /// Every so many turns go to promoted batch work while interactive work waits as well.
+    /// One in this many turns goes to promoted batch requests while interactive requests wait as
+    /// well.
     pub turns_per_promotion: u32,
 }
 
--- a/crates/core/src/admission/queued_request.rs
+++ b/crates/core/src/admission/queued_request.rs
@@ -10,14 +10,14 @@
 pub struct QueuedRequest {
     /// The request.
     pub request: RequestId,
-    /// Who asks.
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// The tenant's weight against others.
+    /// Weight of the tenant relative to others.
     pub weight: u32,
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Work it brings: tokens to compute.
+    /// Cost of the request in tokens to compute.
     pub cost: u32,
-    /// When it came into the queue.
+    /// When the request entered the queue.
     pub queued_at: Timestamp,
 }
--- a/crates/core/src/admission/request_queue.rs
+++ b/crates/core/src/admission/request_queue.rs
@@ -5,23 +5,25 @@
 use crate::identity::{RequestId, TenantName};
 use crate::timestamp::Timestamp;
 
-/// The bounded queue of requests of one pool that wait for an engine with room: interactive work
-/// before batch work, each fair among tenants, and batch work that waited long in between.
+/// The bounded queue of a pool's requests that wait for an engine with room. Interactive requests
+/// come before batch requests, each fair among tenants; batch requests that have waited long get
+/// turns in between.
 ///
-/// Continuations of begun streams wait apart: before all others and outside the bounds, because
-/// their callers have part of the answer already. They are at most as many as streams were begun.
+/// Continuations of partially answered streams wait in a queue of their own, ahead of all others
+/// and outside the bounds, because their callers already have part of the response. There are never
+/// more of them than streams that were partially answered.
 #[derive(Debug, Clone)]
 pub struct RequestQueue {
     limits: QueueLimits,
     continuations: FairQueue,
     interactive: FairQueue,
     batch: FairQueue,
-    /// Turns of interactive work since promoted batch work had one.
+    /// Turns of interactive requests since the last turn of a promoted batch request.
     turns_since_batch: u32,
 }
 
 impl RequestQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         Self {
             limits,
@@ -32,35 +34,35 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.continuations.len() + self.new_request_count()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds the continuation of a begun stream, for which there is always a place.
+    /// Adds the continuation of a partially answered stream, which is never refused.
     pub fn push_continuation(&mut self, request: QueuedRequest) {
         self.continuations.push(request);
     }
 
-    /// The continuation whose turn it is.
+    /// The next continuation in turn.
     pub fn first_continuation(&self) -> Option<&QueuedRequest> {
         self.continuations.first()
     }
 
-    /// Takes the continuation whose turn it is.
+    /// Removes and returns the next continuation in turn.
     pub fn take_first_continuation(&mut self) -> Option<QueuedRequest> {
         self.continuations.take_first()
     }
 
-    /// Adds a new request. Returns the one that does not fit any more: it must be refused at once.
+    /// Adds a new request. Returns a request that no longer fits and must be refused at once.
     ///
-    /// A full queue gives up batch work for interactive work, and otherwise the newest request of
-    /// the tenant that has most waiting, so one tenant cannot keep the others out.
+    /// A full queue gives up batch requests for interactive ones, and otherwise the newest request
+    /// of the tenant with the most waiting requests, so that one tenant cannot keep others out.
     pub fn push(&mut self, request: QueuedRequest) -> Option<QueuedRequest> {
         let priority = request.priority;
         self.queue_mut(priority).push(request);
@@ -74,7 +76,7 @@
         None
     }
 
-    /// The new request whose turn it is.
+    /// The next new request in turn.
     pub fn first(&self, now: Timestamp) -> Option<&QueuedRequest> {
         if self.batch_goes_first(now) {
             self.batch.first()
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes the new request whose turn it is.
+    /// Removes and returns the next new request in turn.
     pub fn take_first(&mut self, now: Timestamp) -> Option<QueuedRequest> {
         if self.batch_goes_first(now) {
             self.turns_since_batch = 0;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Takes one request out, if it waits here.
+    /// Removes one request if it waits here.
     pub fn remove(&mut self, tenant: &TenantName, request: &RequestId) -> Option<QueuedRequest> {
         self.continuations
             .remove(tenant, request)
@@ -102,7 +104,8 @@
             .or_else(|| self.batch.remove(tenant, request))
     }
 
-    /// Whether a continuation or a request of this priority waits, so that a newer one must not overtake it.
+    /// Whether a new request of this priority must queue, because a continuation or a request that
+    /// it must not overtake is waiting.
     pub fn must_queue(&self, priority: Priority) -> bool {
         match priority {
             Priority::Interactive => {
--- a/crates/core/src/placement/cache_directory.rs
+++ b/crates/core/src/placement/cache_directory.rs
@@ -1,30 +1,32 @@
-//! What is known of the caches of engines.
+//! Engines whose caches hold a prefix.
 
 use super::{CacheEpoch, EngineKey, GenerationalMap, Holder, PlacementPoints};
 use crate::prompt::BlockHash;
 use crate::timestamp::Timestamp;
 
-/// Most engines remembered for one prefix; the least recently used is forgotten first.
+/// Maximum number of engines kept per prefix; the least recently used is evicted first.
 const HOLDERS_PER_PREFIX: usize = 8;
 
-/// Which engines were given which prefixes, learnt from this process's own requests; bounded.
+/// Which engines were sent which prefixes, learned from this process's own requests; bounded in
+/// size.
 ///
-/// Each entry names the [`CacheEpoch`] it speaks of, and [`CacheDirectory::holders`] leaves out
-/// those of any other, so nothing known of a dead incarnation or of other weights is ever used.
+/// Each entry records the [`CacheEpoch`] in which it was made, and [`CacheDirectory::holders`]
+/// skips entries of any other epoch. Entries of a dead incarnation or of other weights are
+/// therefore never used.
 #[derive(Debug, Clone)]
 pub struct CacheDirectory {
     holders: GenerationalMap<Vec<Holder>>,
 }
 
 impl CacheDirectory {
-    /// Knows nothing; remembers up to twice `generation_size` prefixes.
+    /// Creates an empty directory of at most twice `generation_size` prefixes.
     pub fn new(generation_size: usize) -> Self {
         Self {
             holders: GenerationalMap::new(generation_size),
         }
     }
 
-    /// Notes that an engine was given a prompt: its cache holds all its prefixes.
+    /// Records that an engine was sent a prompt, so its cache holds all prefixes of it.
     pub fn note(
         &mut self,
         points: &PlacementPoints,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Notes that an engine did not take a prompt after all.
+    /// Removes the record of a prompt that an engine did not accept after all.
     pub fn forget(&mut self, points: &PlacementPoints, engine: EngineKey) {
         for point in points.all() {
             if let Some(holders) = self.holders.get_mut(point.hash) {
@@ -52,7 +54,8 @@
         }
     }
 
-    /// The engines whose cache, in its current life as `epoch_of` tells it, was given the prefix.
+    /// Engines that were sent the prefix in the current epoch of their cache, which `epoch_of`
+    /// returns.
     pub fn holders<'a>(
         &'a self,
         prefix: BlockHash,
--- a/crates/core/src/placement/cache_hit_estimate.rs
+++ b/crates/core/src/placement/cache_hit_estimate.rs
@@ -1,37 +1,37 @@
-//! How much of an unknown prefix the first engine in order holds.
+//! Expected cached share of a prefix that this process has not sent.
 
 use crate::dispatch::Priority;
 
-/// Classes by length: each holds prefixes up to twice as long as the one before.
+/// Length classes: each holds prefixes up to twice as long as the class before.
 const LENGTH_CLASSES: usize = 20;
 /// Weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Learns how much of a shared prefix is found in the first engine in order when this process has
-/// not sent it there itself, because other processes have.
+/// Learns which share of a shared prefix is cached in the first engine in order although this
+/// process has not sent it there, because other processes have.
 ///
-/// Prefixes that many callers share are found almost always, so the order is worth keeping to;
-/// those of a single caller never are, so the least loaded engine may take them. Priority and
-/// length tell such kinds of work apart well enough.
+/// Prefixes shared by many callers are found there almost always, so the order is worth keeping.
+/// Prefixes of a single caller are never found there, so the least loaded engine may serve them.
+/// Priority and length distinguish these kinds of requests well enough.
 #[derive(Debug, Clone)]
 pub struct CacheHitEstimate {
     classes: [[f64; LENGTH_CLASSES]; 2],
 }
 
 impl CacheHitEstimate {
-    /// Starts from a guess for all classes.
+    /// Starts with `initial` for all classes.
     pub fn new(initial: f64) -> Self {
         Self {
             classes: [[initial; LENGTH_CLASSES]; 2],
         }
     }
 
-    /// Share of `tokens` unknown tokens that is expected.
+    /// Expected cached share of `tokens` tokens that this process has not sent.
     pub fn expected(&self, priority: Priority, tokens: f64) -> f64 {
         self.classes[priority as usize][length_class(tokens)]
     }
 
-    /// Takes the share that was found.
+    /// Records the share that was found to be cached.
     pub fn observe(&mut self, priority: Priority, tokens: f64, share: f64) {
         let estimate = &mut self.classes[priority as usize][length_class(tokens)];
         *estimate += SAMPLE_WEIGHT * (share.clamp(0.0, 1.0) - *estimate);
--- a/crates/core/src/placement/candidate_order.rs
+++ b/crates/core/src/placement/candidate_order.rs
@@ -1,14 +1,14 @@
-//! The deterministic order of candidates.
+//! Deterministic order of candidates.
 
 use super::{PoolMember, PrefixWidth, rendezvous_score};
 
 /// The order in which members of a pool are considered for a prompt.
 ///
-/// From the outermost prefix inwards, each prefix keeps the members that score highest for it, as
-/// many as its width says, out of those kept before. So a thin prefix stays on one engine together
-/// with all prompts below it, a hot one is spread over several, and prompts below a hot prefix
-/// share it only among its engines. Members dropped on the way follow, the innermost set first:
-/// a request that spills finds the longest outer prefix there.
+/// From the outermost prefix inwards, each prefix keeps the members with the highest scores for it,
+/// as many as its width, out of those kept before. A rarely requested prefix therefore stays on one
+/// engine with all prompts below it, and a frequently requested one is spread over several engines;
+/// the prompts below it share only these engines. Dropped members follow, the innermost set first,
+/// so that a request that overflows finds the longest possible outer prefix there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CandidateOrder {
     positions: Vec<usize>,
@@ -63,7 +63,7 @@
     rest.into_iter().map(|(_, position)| position).collect()
 }
 
-/// Sorts by score for `key`, highest first, and cuts after `limit`.
+/// Sorts by score for `key`, highest first, and truncates to `limit`.
 fn sort_highest(positions: &mut Vec<usize>, members: &[PoolMember], key: u64, limit: usize) {
     let mut scored = score(positions, members, key);
     if limit < scored.len() {
--- a/crates/core/src/placement/data_centre_latency.rs
+++ b/crates/core/src/placement/data_centre_latency.rs
@@ -1,18 +1,19 @@
-//! How far away data centres are.
+//! Latency to data centres.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::identity::DataCentreName;
 
-/// Weight of a sample above the estimate: the estimate follows a longer way slowly.
+/// Weight of a sample above the estimate. It is small, so that the minimum rises slowly when the
+/// network path becomes longer.
 const RISE_WEIGHT: f64 = 0.02;
 
-/// Estimates how much longer the way to another data centre is than to the own one, from the times
-/// between requests and the heads of their answers.
+/// Estimates the additional round-trip time to other data centres over that within the own one,
+/// from the times between requests and the heads of their responses.
 ///
-/// Each data centre keeps a slowly rising minimum. Only differences count, so that it does not
-/// matter whether engines send the head at once or with the first token.
+/// Each data centre keeps a slowly rising minimum. Only differences count, so it does not matter
+/// whether engines send the head at once or with the first token.
 #[derive(Debug, Clone)]
 pub struct DataCentreLatency {
     own: DataCentreName,
@@ -21,7 +22,7 @@
 }
 
 impl DataCentreLatency {
-    /// Nothing is measured yet: other data centres are assumed to be so far away.
+    /// Assumes the latency `assumed` for other data centres until it has been measured.
     pub fn new(own: DataCentreName, assumed: Duration) -> Self {
         Self {
             own,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The head of an answer from this data centre took so long.
+    /// Records the time after which the head of a response from this data centre arrived.
     pub fn observe(&mut self, data_centre: &DataCentreName, head_after: Duration) {
         let sample = head_after.as_secs_f64();
         let Some(known) = self.head_seconds.get_mut(data_centre) else {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// How much longer the way there and back is than within the own data centre.
+    /// Additional round-trip time to this data centre over that within the own one.
     pub fn to(&self, data_centre: &DataCentreName) -> Duration {
         if *data_centre == self.own {
             return Duration::ZERO;
--- a/crates/core/src/placement/data_centre_preference.rs
+++ b/crates/core/src/placement/data_centre_preference.rs
@@ -1,4 +1,4 @@
-//! Which data centre a request should be served in.
+//! Preferred data centre of a request.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -6,27 +6,29 @@
 use crate::identity::{DataCentreName, PoolName, TenantName};
 use crate::prompt::PrefixChain;
 
-/// Thousandths in a whole.
+/// Parts per thousand in a whole.
 const PERMILLE: u64 = 1_000;
 
 /// Nesting level that decides the data centre, counted from the outermost. It is fixed, so that
-/// requests with the same prefix go to the same data centre however loads change; it lies inside
-/// the tenant's own prefixes, so that one large tenant can move in steps.
+/// requests with the same prefix go to the same data centre however loads change. It lies inside
+/// the tenant's own prefixes, so that one large tenant can be migrated in steps.
 const SPLIT_LEVEL: usize = 2;
 
 /// Which data centre a migration stage chooses for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DataCentrePreference<'a> {
-    /// The data centre to serve it in.
+    /// The data centre to serve the request in.
     pub first: &'a DataCentreName,
-    /// The data centre it must not overflow to: the target of a stage that was rolled back.
+    /// The data centre that the request must not overflow to: the target of a stage that was rolled
+    /// back.
     pub excluded: Option<&'a DataCentreName>,
 }
 
-/// What the migration stages of the pool choose for a request, if there is one.
+/// The choice of the pool's migration stage for a request; `None` without a stage.
 ///
-/// The choice is a hash of tenant and outer prefix against the share, so that a prefix keeps its
-/// data centre, and a rising share only moves prefixes from the source to the target.
+/// The choice compares a hash of tenant and outer prefix with the share of the target. A prefix
+/// therefore keeps its data centre, and an increasing share only moves prefixes from the source to
+/// the target.
 pub fn preferred_data_centre<'a>(
     catalog: &'a Catalog,
     pool: &PoolName,
--- a/crates/core/src/placement/decayed_rate.rs
+++ b/crates/core/src/placement/decayed_rate.rs
@@ -1,19 +1,19 @@
-//! An event rate with exponential decay.
+//! Event rate with exponential decay.
 
 use std::time::Duration;
 
 use crate::timestamp::Timestamp;
 
-/// Estimates how often something happens; older events weigh less.
+/// Estimates how often an event occurs; older events weigh less.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DecayedRate {
-    /// Events, each weighed by `e^(−age ÷ time constant)`.
+    /// Sum of the events, each weighted by `e^(−age ÷ time constant)`.
     weight: f64,
     updated_at: Timestamp,
 }
 
 impl DecayedRate {
-    /// A rate of zero.
+    /// Starts with a rate of zero.
     pub fn new(now: Timestamp) -> Self {
         Self {
             weight: 0.0,
@@ -27,7 +27,7 @@
         self.updated_at = now.max(self.updated_at);
     }
 
-    /// Events a second.
+    /// Events per second.
     pub fn per_second(&self, now: Timestamp, time_constant: Duration) -> f64 {
         self.weight_at(now, time_constant) / time_constant.as_secs_f64()
     }
--- a/crates/core/src/placement/fixed_hasher.rs
+++ b/crates/core/src/placement/fixed_hasher.rs
@@ -2,7 +2,7 @@
 
 use std::hash::Hasher;
 
-/// Passes a 64-bit key through: block hashes need no second hash, and the same keys give the same
+/// Passes a 64-bit key through. Block hashes need no second hash, and the same keys give the same
 /// table in every run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FixedHasher(u64);
--- a/crates/core/src/placement/generational_map.rs
+++ b/crates/core/src/placement/generational_map.rs
@@ -1,4 +1,4 @@
-//! A bounded map that forgets what is not used.
+//! Bounded map that evicts unused entries.
 
 use std::collections::HashMap;
 use std::hash::BuildHasherDefault;
@@ -8,11 +8,12 @@
 
 type Generation<V> = HashMap<BlockHash, V, BuildHasherDefault<FixedHasher>>;
 
-/// A map of at most `2 × generation_size` entries that forgets those not written for longest.
+/// A map of at most `2 × generation_size` entries that evicts those not written for longest.
 ///
-/// Entries live in two generations. A write puts the entry into the young one; when that is full
-/// it becomes the old one and the old one is dropped. Each operation takes constant time, and
-/// nothing iterates over entries, so their order in memory decides nothing.
+/// Entries are stored in two generations. A write puts the entry into the young generation. When
+/// that is full it becomes the old one, and the previous old one is dropped. Each operation takes
+/// constant time, and nothing iterates over entries, so results do not depend on their order in
+/// memory.
 #[derive(Debug, Clone)]
 pub struct GenerationalMap<V> {
     generation_size: usize,
@@ -21,7 +22,7 @@
 }
 
 impl<V> GenerationalMap<V> {
-    /// An empty map of two generations of this size.
+    /// Creates an empty map with two generations of this size.
     pub fn new(generation_size: usize) -> Self {
         Self {
             generation_size: generation_size.max(1),
@@ -30,12 +31,12 @@
         }
     }
 
-    /// The entry, if it is still known.
+    /// The entry, if it has not been evicted.
     pub fn get(&self, key: BlockHash) -> Option<&V> {
         self.young.get(&key).or_else(|| self.old.get(&key))
     }
 
-    /// The entry for writing, made by `create` when it is not known.
+    /// The entry for writing, created by `create` when there is none.
     pub fn get_or_insert_with(&mut self, key: BlockHash, create: impl FnOnce() -> V) -> &mut V {
         if !self.young.contains_key(&key) {
             self.make_room();
@@ -45,17 +46,17 @@
         self.young.get_mut(&key).expect("just inserted")
     }
 
-    /// The entry for writing, if it is still known.
+    /// The entry for writing, if it has not been evicted.
     pub fn get_mut(&mut self, key: BlockHash) -> Option<&mut V> {
         self.young.get_mut(&key).or_else(|| self.old.get_mut(&key))
     }
 
-    /// Entries held.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/core/src/placement/holder.rs
+++ b/crates/core/src/placement/holder.rs
@@ -3,12 +3,12 @@
 use super::{CacheEpoch, EngineKey};
 use crate::timestamp::Timestamp;
 
-/// An engine that was given a prefix, so that its cache held it then.
+/// An engine that was sent a prefix, so its cache held the prefix then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
     /// The engine.
     pub engine: EngineKey,
-    /// The life of the cache that was given it; the entry means nothing for any other.
+    /// Epoch of the cache that received the prefix. The entry is invalid in any other epoch.
     pub epoch: CacheEpoch,
     /// When the prefix was last used there.
     pub used_at: Timestamp,
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! Which back end should serve a prompt: a deterministic order of candidates that every process
-//! computes alike, refined by what answers tell of caches and queues.
+//! Which back end should serve a prompt: a deterministic order of candidates that is the same in
+//! every process, refined by what responses report about caches and queues.
 
 mod cache_directory;
 mod cache_epoch;
--- a/crates/core/src/placement/placement_point.rs
+++ b/crates/core/src/placement/placement_point.rs
@@ -5,9 +5,9 @@
 /// A prefix that placement considers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementPoint {
-    /// The prefix.
+    /// Hash of the prefix.
     pub hash: BlockHash,
-    /// Its tokens (estimate).
+    /// Estimated tokens of the prefix.
     pub end_tokens: u32,
 }
 
--- a/crates/core/src/placement/placement_points.rs
+++ b/crates/core/src/placement/placement_points.rs
@@ -3,19 +3,19 @@
 use super::PlacementPoint;
 use crate::prompt::{PrefixBlock, PrefixChain};
 
-/// Outermost points kept of a prompt with many levels: they decide where it is placed.
+/// Outermost points kept of a prompt with many levels; they decide where the prompt is placed.
 const OUTER_POINTS: usize = 8;
 
-/// Innermost points kept of a prompt with many levels: they tell how much of it is cached.
+/// Innermost points kept of a prompt with many levels; they show how much of the prompt is cached.
 const INNER_POINTS: usize = 16;
 
-/// Blocks after which a long message gets its first point inside; the next follow at double the
-/// distance each.
+/// Number of blocks in a long message before its first inner point. Each following point lies at
+/// twice the distance.
 const FIRST_INNER_BLOCKS: usize = 4;
 
 /// The few prefixes of a prompt that placement considers, from the shortest: the ends of its
-/// nesting levels, and inside long levels points at doubling distances, for prompts that arrive
-/// as one message.
+/// nesting levels and, for prompts that arrive as one message, points at doubling distances inside
+/// long levels.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PlacementPoints {
     points: Vec<PlacementPoint>,
@@ -36,7 +36,7 @@
             points.extend(level.last().map(PlacementPoint::from));
         }
         if shared == 0 {
-            // A single level: all but the whole prompt may be shared.
+            // With a single level, everything but the whole prompt may be shared.
             shared = points.len().saturating_sub(1);
         }
         let dropped_count = points.len().saturating_sub(OUTER_POINTS + INNER_POINTS);
@@ -60,8 +60,8 @@
         &self.points[..self.shared]
     }
 
-    /// The longest prefix that other prompts are likely to share; the whole prompt when there is
-    /// none; `None` when there is no prompt.
+    /// The longest prefix that other prompts are likely to share; the whole prompt if no prefix is;
+    /// `None` without a prompt.
     pub fn deepest_shared(&self) -> Option<PlacementPoint> {
         self.shared().last().or(self.points.last()).copied()
     }
--- a/crates/core/src/placement/pool_index.rs
+++ b/crates/core/src/placement/pool_index.rs
@@ -1,4 +1,4 @@
-//! The back ends of a pool, ready for placement.
+//! The back ends of a pool, indexed for placement.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -6,7 +6,7 @@
 use super::{EngineKey, PoolMember};
 use crate::identity::DataCentreName;
 
-/// The back ends of a pool that may take new work, by data centre. It is built once for each
+/// The back ends of a pool that may take new work, by data centre. It is built once per catalog
 /// snapshot, so that placing a request neither searches the catalog nor hashes names.
 #[derive(Debug, Clone, Default)]
 pub struct PoolIndex {
@@ -39,17 +39,17 @@
         }
     }
 
-    /// Its data centres.
+    /// Data centres of the back ends.
     pub fn data_centres(&self) -> impl Iterator<Item = &DataCentreName> {
         self.data_centres.keys()
     }
 
-    /// All its back ends, by data centre and name.
+    /// All back ends, ordered by data centre and name.
     pub fn members(&self) -> &[PoolMember] {
         &self.members
     }
 
-    /// Positions of the back ends in these data centres among all.
+    /// Positions among all members of the back ends in these data centres.
     pub fn positions_in<'a>(
         &'a self,
         data_centres: &'a [DataCentreName],
@@ -60,7 +60,7 @@
             .flat_map(Range::clone)
     }
 
-    /// Position of a back end among all.
+    /// Position of a back end among all members.
     pub fn position(&self, key: EngineKey) -> Option<usize> {
         self.positions.get(&key).copied()
     }
--- a/crates/core/src/placement/pool_member.rs
+++ b/crates/core/src/placement/pool_member.rs
@@ -1,16 +1,16 @@
-//! A back end as placement sees it.
+//! A back end with its data for placement.
 
 use super::{EngineKey, name_hash};
 use crate::catalog::BackEnd;
 
-/// A back end that may take new work as far as configuration and membership go.
+/// A back end that may take new work according to configuration and membership.
 #[derive(Debug, Clone)]
 pub struct PoolMember {
-    /// Its identity inside this process.
+    /// Identity inside this process.
     pub key: EngineKey,
-    /// Hash of its name, for rendezvous.
+    /// Hash of the name, for rendezvous hashing.
     pub name_hash: u64,
-    /// Its configuration.
+    /// Configuration of the back end.
     pub back_end: BackEnd,
 }
 
--- a/crates/core/src/placement/prefix_request_rates.rs
+++ b/crates/core/src/placement/prefix_request_rates.rs
@@ -1,4 +1,4 @@
-//! How often prefixes are asked for.
+//! Request rates of prefixes.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::prompt::BlockHash;
 use crate::timestamp::Timestamp;
 
-/// How often prefixes are asked for, as this process sees it; bounded.
+/// How often prefixes are requested, as seen by this process; bounded in size.
 #[derive(Debug, Clone)]
 pub struct PrefixRequestRates {
     time_constant: Duration,
@@ -14,7 +14,7 @@
 }
 
 impl PrefixRequestRates {
-    /// Knows nothing; remembers up to twice `generation_size` prefixes.
+    /// Creates an empty table of at most twice `generation_size` prefixes.
     pub fn new(generation_size: usize, time_constant: Duration) -> Self {
         Self {
             time_constant,
@@ -29,14 +29,14 @@
             .add(1.0, now, self.time_constant);
     }
 
-    /// Requests a second for a prefix; 0 when it is not known.
+    /// Requests per second for a prefix; 0 if the prefix is not in the table.
     pub fn per_second(&self, prefix: BlockHash, now: Timestamp) -> f64 {
         self.rates
             .get(prefix)
             .map_or(0.0, |rate| rate.per_second(now, self.time_constant))
     }
 
-    /// Whether the prefix has been asked for before.
+    /// Whether the prefix has been requested before, as far as the table goes back.
     pub fn knows(&self, prefix: BlockHash) -> bool {
         self.rates.get(prefix).is_some()
     }
--- a/crates/core/src/placement/rendezvous.rs
+++ b/crates/core/src/placement/rendezvous.rs
@@ -4,15 +4,15 @@
 
 use crate::identity::BackEndName;
 
-/// Hash of a back end's name, computed once for each configuration.
+/// Hash of a back end's name, computed once per configuration.
 pub fn name_hash(name: &BackEndName) -> u64 {
     xxh3_64(name.as_str().as_bytes())
 }
 
-/// Score of a back end for a key; the highest score serves the key.
+/// Score of a back end for a key; the back end with the highest score serves the key.
 ///
-/// Every process with the same configuration computes the same scores, and a back end that comes
-/// or goes moves only the keys it serves itself.
+/// Every process with the same configuration computes the same scores, and a back end that joins or
+/// leaves moves only the keys that it serves itself.
 pub fn rendezvous_score(key: u64, name_hash: u64) -> u64 {
     finalize(key ^ name_hash.rotate_left(32))
 }
