--- a/crates/core/src/backpressure/mod.rs
+++ b/crates/core/src/backpressure/mod.rs
@@ -9,12 +9,12 @@
 mod exclusion;
 mod limit;
 mod report;
-mod sender_share;
+mod share;
 mod signal;
 
 pub use condition::{Change, Condition};
 pub use exclusion::{Exclusion, ExclusionReason};
 pub use limit::Limit;
 pub use report::Report;
-pub use sender_share::{SenderPosition, sender_share};
+pub use share::{SenderPosition, sender_share};
 pub use signal::Signal;
--- a/crates/core/src/limit/allocator_account.rs
+++ b/crates/core/src/limit/allocator_account.rs
@@ -70,12 +70,7 @@
 
     /// Records the streams that the request reports as held. Returns whether the request is newer
     /// than all earlier ones of the client.
-    pub fn record_report(
-        &mut self,
-        from: &NodeName,
-        request: &LimitRequest,
-        now: Timestamp,
-    ) -> bool {
+    pub fn record(&mut self, from: &NodeName, request: &LimitRequest, now: Timestamp) -> bool {
         self.used_at = now;
         let client = self.clients.entry(from.clone()).or_default();
         if request.serial <= client.serial {
--- a/crates/core/src/limit/limit_allocator.rs
+++ b/crates/core/src/limit/limit_allocator.rs
@@ -223,7 +223,7 @@
         let Some(account) = self.accounts.get_mut(&request.tenant) else {
             return nothing;
         };
-        let newer = account.record_report(from, request, now);
+        let newer = account.record(from, request, now);
         if newer && valid {
             account.grant(from, request, &self.settings, now)
         } else {
--- a/crates/core/src/poison/history.rs
+++ b/crates/core/src/poison/history.rs
@@ -57,7 +57,7 @@
 }
 
 impl History {
-    /// Adds a crash during a run; returns `false` when the history does not change.
+    /// Adds a crash; returns `false` when the history does not change.
     pub fn record_crash(&mut self, crash: Crash) -> bool {
         if self.last_success_at >= Some(crash.ended) {
             return false;
@@ -102,14 +102,14 @@
         has_changed
     }
 
-    /// Removes the crashes that turned out to be none; returns how many were removed.
+    /// Removes crashes that turned out not to have happened; returns how many were removed.
     pub fn remove_crashes(&mut self, is_refuted: impl Fn(&Crash) -> bool) -> usize {
         let count = self.crashes.len();
         self.crashes.retain(|crash| !is_refuted(crash));
         count - self.crashes.len()
     }
 
-    /// Merges the history of another node; returns `false` when nothing changes.
+    /// Merges the history of another node; returns `false` when crashes and trials stay the same.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut has_changed = other
             .last_success_at
@@ -193,8 +193,8 @@
     /// Whether the request succeeded shortly before its first crash.
     fn succeeded_recently(&self) -> bool {
         let first = self.crashes.first();
-        let good = self.last_success_at.zip(first);
-        good.is_some_and(|(at, first)| first.ended.since(at) < SUCCESS_RETENTION)
+        let success = self.last_success_at.zip(first);
+        success.is_some_and(|(at, first)| first.ended.since(at) < SUCCESS_RETENTION)
     }
 
     /// Whether another request ran at several of the same crashes.
@@ -236,12 +236,12 @@
     /// Delay before the next trial; `None` when there are no more trials.
     fn trial_delay(&self, blocked_at: Timestamp, is_ambiguous: bool) -> Option<Duration> {
         let since = blocked_at.after(PROPAGATION_TIME);
-        let ended = self.crashes.iter().filter(|crash| crash.began > since);
+        let trial_crashes = self.crashes.iter().filter(|crash| crash.began > since);
         let first = FIRST_TRIAL_DELAYS.get(self.trials as usize);
         let first = first.filter(|_| is_ambiguous);
-        match ended.count() {
+        match trial_crashes.count() {
             0 => first.or(TRIAL_DELAYS.first()).copied(),
-            ended => TRIAL_DELAYS.get(ended).copied(),
+            count => TRIAL_DELAYS.get(count).copied(),
         }
     }
 
@@ -256,11 +256,11 @@
                     crash.began > at.after(PROPAGATION_TIME) && self.crashes.len() < MAX_CRASHES
                 }
                 None if crash.is_unproven => {
-                    let is_separate_from = self
+                    let is_separate = self
                         .crashes
                         .last()
                         .is_none_or(|last| crash.is_separate_from(last));
-                    is_separate_from && self.crashes.len() < MAX_CRASHES
+                    is_separate && self.crashes.len() < MAX_CRASHES
                 }
                 None => self
                     .proven()
--- a/crates/core/src/poison/register.rs
+++ b/crates/core/src/poison/register.rs
@@ -14,7 +14,7 @@
 /// engine crashes, and all nodes know of the crash before the next trial.
 const TRIAL_SEPARATION: Duration = Duration::from_secs(2);
 
-/// Histories of the requests during which engines crashed, as far as this node knows.
+/// Histories of the requests during which engines crashed, as known to this node.
 #[derive(Debug, Default)]
 pub struct Register {
     histories: BTreeMap<Digest, History>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds a crash during a run; returns `false` when the history does not change.
+    /// Adds a crash; returns `false` when the history does not change.
     pub fn record_crash(&mut self, digest: Digest, crash: Crash, now: Timestamp) -> bool {
         self.get_or_insert(digest, now).record_crash(crash)
     }
@@ -80,7 +80,7 @@
         history.is_some_and(|history| history.record_success(now))
     }
 
-    /// Merges the history of another node; returns `false` when nothing changes.
+    /// Merges the history of another node; returns `false` when crashes and trials stay the same.
     pub fn merge(&mut self, digest: Digest, remote: &History, now: Timestamp) -> bool {
         let is_known = self.histories.contains_key(&digest);
         if remote.is_expired(now) || (!is_known && remote.crashes.is_empty()) {
@@ -122,11 +122,11 @@
         self.forget(now);
         while self.histories.len() >= MAX_HISTORIES {
             let rank = |history: &History| (history.is_blocked(), history.last_event());
-            let least = self
+            let evicted = self
                 .histories
                 .iter()
                 .min_by_key(|(_, history)| rank(history));
-            let Some(digest) = least.map(|(digest, _)| *digest) else {
+            let Some(digest) = evicted.map(|(digest, _)| *digest) else {
                 return;
             };
             self.histories.remove(&digest);
--- a/crates/core/src/prompt/block_hash.rs
+++ b/crates/core/src/prompt/block_hash.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Hash of everything from the start of the prompt to the end of one block, salted with tenant,
-/// model, weights version and adapter. Equal hashes mean the same cacheable prefix.
+/// model, weights version and adapter. Equal hashes identify the same cacheable prefix.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Display,
 )]
--- a/crates/core/src/prompt/mod.rs
+++ b/crates/core/src/prompt/mod.rs
@@ -1,4 +1,4 @@
-//! The prompt cut into nested prefixes.
+//! Prompts as chains of nested prefixes.
 
 mod block_hash;
 mod prefix_block;
--- a/crates/core/src/prompt/prefix_block.rs
+++ b/crates/core/src/prompt/prefix_block.rs
@@ -9,8 +9,8 @@
 pub struct PrefixBlock {
     /// Hash of the prefix that ends with this block.
     pub hash: BlockHash,
-    /// Tokens of the prefix that ends with this block (estimate).
+    /// Estimated tokens of the prefix that ends with this block.
     pub end_tokens: u32,
-    /// Nesting level (message boundaries passed) the block belongs to, from 0.
+    /// Nesting level of the block, counted from 0: the number of message boundaries before it.
     pub level: u16,
 }
--- a/crates/core/src/prompt/prefix_chain.rs
+++ b/crates/core/src/prompt/prefix_chain.rs
@@ -8,16 +8,16 @@
 /// The prefixes of one prompt, from the shortest to the whole prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PrefixChain {
-    /// The weights version in the salt of every hash; the request may run at no other. `None` for
-    /// plain services and for requests that any version may serve.
+    /// The weights version in the salt of every hash; the request must not run with any other.
+    /// `None` for services without prompts and for requests that any version may serve.
     #[serde(default)]
     pub weights_version: Option<WeightsVersion>,
-    /// The blocks in order; `end_tokens` rises.
+    /// The blocks in order of increasing `end_tokens`.
     pub blocks: Vec<PrefixBlock>,
 }
 
 impl PrefixChain {
-    /// Tokens of the whole prompt (estimate).
+    /// Estimated tokens of the whole prompt.
     pub fn tokens(&self) -> u32 {
         self.blocks.last().map_or(0, |block| block.end_tokens)
     }
--- a/crates/core/src/prompt/prefix_chain_builder.rs
+++ b/crates/core/src/prompt/prefix_chain_builder.rs
@@ -1,25 +1,25 @@
-//! Cuts a prompt into its chain of nested prefixes.
+//! Splits a prompt into its chain of nested prefixes.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{BlockHash, PrefixBlock, PrefixChain, PrefixSalt};
 use crate::identity::WeightsVersion;
 
-/// Bytes of text that make one token, on average over the models served.
+/// Average number of bytes of text per token over the models served.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens of a whole block within a message.
+/// Number of tokens in a full block within a message.
 pub const BLOCK_TOKENS: usize = 256;
 
-/// Tokens that the chat template spends on each message.
+/// Tokens that the chat template adds to each message.
 pub const MESSAGE_OVERHEAD_TOKENS: u32 = 4;
 
 const BLOCK_BYTES: usize = BLOCK_TOKENS * BYTES_PER_TOKEN;
 
-/// Cuts a prompt at its message boundaries, then every [`BLOCK_TOKENS`] tokens within a message.
+/// Splits a prompt at its message boundaries, and within a message every [`BLOCK_TOKENS`] tokens.
 ///
-/// The hash of each block is seeded with the hash of the block before it, so that it stands for
-/// the whole prefix, and the first with the hash of the [`PrefixSalt`].
+/// The hash of each block is seeded with the hash of the block before it, so that it identifies the
+/// whole prefix; the first is seeded with the hash of the [`PrefixSalt`].
 #[derive(Debug, Clone)]
 pub struct PrefixChainBuilder {
     weights_version: WeightsVersion,
@@ -56,7 +56,7 @@
         self
     }
 
-    /// The chain of all messages so far.
+    /// The chain of all messages appended so far.
     pub fn finish(self) -> PrefixChain {
         PrefixChain {
             weights_version: Some(self.weights_version),
--- a/crates/core/src/prompt/prefix_salt.rs
+++ b/crates/core/src/prompt/prefix_salt.rs
@@ -1,4 +1,4 @@
-//! What separates the cache entries of one kind of request from all others.
+//! Salt of prefix hashes.
 
 use xxhash_rust::xxh3::Xxh3;
 
@@ -7,18 +7,18 @@
 /// What separates cache entries: prompts with different salts never share a prefix hash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixSalt<'a> {
-    /// Who asks.
+    /// The tenant that sent the request.
     pub tenant: &'a TenantName,
     /// The model.
     pub model: &'a ModelName,
     /// The weights that compute the cache entries.
     pub weights_version: WeightsVersion,
-    /// The adapter, if one is named.
+    /// The adapter, if the request names one.
     pub adapter: Option<&'a AdapterName>,
 }
 
 impl PrefixSalt<'_> {
-    /// The hash every chain with this salt starts from.
+    /// The hash from which every chain with this salt starts.
     pub(super) fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         update_delimited(&mut hasher, self.tenant.as_str());
@@ -31,7 +31,7 @@
     }
 }
 
-/// Hashes a text behind its length, so that no two sequences of texts look the same.
+/// Hashes a text after its length, so that no two sequences of texts hash the same bytes.
 fn update_delimited(hasher: &mut Xxh3, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
--- a/crates/core/src/quota/account.rs
+++ b/crates/core/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! One tenant at one node.
+//! Account of one tenant at one node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,38 +6,38 @@
 use super::{Limit, Meter, Peers, Request, Usage, Verdict};
 use crate::Timestamp;
 
-/// What is told to others is averaged over this time: some requests of a busy tenant, and not
-/// longer than news take, so that a rise is seen soon.
+/// Averaging time of the usage that is reported to other nodes. It spans several requests of a busy
+/// tenant and is no longer than a report takes, so that an increase is seen early.
 const REPORT_WINDOW: Duration = Duration::from_millis(200);
-/// A node that stands in for all others needs a steadier average than it tells: it sees few
-/// requests itself.
+/// Averaging time where a node estimates the traffic of all nodes from its own. It is longer than
+/// that of reports, because a single node sees few requests.
 const STEADY_WINDOW: Duration = Duration::from_secs(4);
-/// What all nodes admit is steered to meet the limit after so long. News of other zones take up to
-/// a second; a shorter time would swing.
+/// Time within which the admitted amount is adjusted to meet the limit. Reports of other zones take
+/// up to a second, and a shorter time would cause oscillation.
 const CONTROL_HORIZON: Duration = Duration::from_millis(1_000);
-/// A new account begins with so much of the limit used up: the process may have been restarted and
-/// have forgotten what it admitted.
+/// A new account begins with this much of the limit used up, because the process may have been
+/// restarted and lost what it admitted before.
 const PRESUMED_USE: Duration = Duration::from_secs(1);
-/// Use beyond the limit is made up for over so much time at most.
+/// Bounds the time over which usage beyond the limit is compensated.
 const MAX_DEBT: Duration = Duration::from_secs(4);
-/// Of what the limit admits, this part goes to all requests alike, the rest to urgent ones first, so
-/// that no kind of request is shut out.
+/// Share of the admitted amount that goes to all requests alike, so that no priority is shut out.
+/// The rest goes to the most urgent requests first.
 const UNPRIORITIZED_SHARE: f64 = 0.25;
-/// A request that uses less than this share of what the tenant's requests use on average goes with
-/// the most urgent ones: to refuse it would save nothing.
+/// A request that uses less than this share of the tenant's mean request is given the most urgent
+/// priority, because refusing it would save nothing.
 const SMALL_REQUEST_SHARE: f64 = 0.1;
-/// Requests come back spread over as long as the limit needs for what is asked in a second, within
-/// these bounds.
+/// Bounds of the period over which refused callers are told to return. The period is the time in
+/// which the limit admits what is asked for in one second.
 const MIN_SPREAD_S: f64 = 0.5;
 const MAX_SPREAD_S: f64 = 4.0;
 
-/// One tenant with a limit, as one node sees it.
+/// One tenant with a limit, as seen by one node.
 #[derive(Debug)]
 pub struct Account {
-    /// What all nodes together may admit at once; negative after they admitted too much.
+    /// Amount that all nodes together may admit at once; negative after they admitted too much.
     balance: f64,
     balanced_at: Timestamp,
-    /// Share of what was asked for that was admitted at the last decision.
+    /// Share of the amount asked for that was admitted at the last decision.
     share: f64,
     asked: Meter,
     admitted: Meter,
@@ -46,7 +46,7 @@
 }
 
 impl Account {
-    /// An account that begins at `now`, in a process that has run for `uptime`.
+    /// Opens an account at `now`, in a process that has run for `uptime`.
     pub fn new(limit: &Limit, uptime: Duration, now: Timestamp) -> Self {
         let forgotten = PRESUMED_USE.saturating_sub(uptime).as_secs_f64();
         let filled = uptime.saturating_sub(PRESUMED_USE).as_secs_f64();
@@ -62,15 +62,16 @@
         }
     }
 
-    /// Lets time pass: the limit fills the balance, what the others admit takes from it.
+    /// Advances the account to `now`: adds what the limit allows to the balance and subtracts what
+    /// other nodes admit.
     pub fn advance(&mut self, limit: &Limit, peers: &Peers, now: Timestamp) {
         let elapsed = now.since(self.balanced_at).as_secs_f64();
         self.balanced_at = now;
         let others = match peers.is_uninformed {
-            // Taken off as this node admits.
+            // Subtracted as this node admits, see `charge`.
             true => 0.0,
-            // Those that are not heard are taken to admit the same share as this node: what they
-            // told last may be a moment at which they made up for a surge.
+            // Nodes without a recent report are assumed to admit the same share as this node. The
+            // rate they last reported may date from a moment at which they compensated for a surge.
             false => peers.others.admitted + peers.others.stale * self.share,
         };
         let per_second = limit.per_second * peers.share_of_reachable();
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Counts a request; returns the priority that it is admitted by.
+    /// Counts a request; returns the priority by which it is admitted.
     fn record_request(&mut self, request: &Request, now: Timestamp) -> u8 {
         self.asked.count(request.amount, now);
         self.requests.count(1.0, now);
@@ -118,7 +119,7 @@
         priority
     }
 
-    /// Something that was admitted before runs once more.
+    /// Charges the account for an admitted request, also when it runs once more.
     pub fn charge(&mut self, peers: &Peers, amount: f64, now: Timestamp) {
         self.admitted.count(amount, now);
         let represented_nodes = if peers.is_uninformed {
@@ -129,12 +130,12 @@
         self.balance -= amount * represented_nodes as f64;
     }
 
-    /// Something that was admitted has not run.
+    /// Returns the amount of an admitted request that did not run.
     pub fn refund(&mut self, peers: &Peers, amount: f64, now: Timestamp) {
         self.charge(peers, -amount, now);
     }
 
-    /// What this node tells the others.
+    /// Usage that this node reports to the others.
     pub fn usage(&self, now: Timestamp) -> Usage {
         Usage {
             asked: self.asked.per_second(now) as f32,
@@ -142,12 +143,12 @@
         }
     }
 
-    /// What all nodes together may admit at once.
+    /// Amount that all nodes together may admit at once.
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// What the tenant asks for a second at all nodes that are heard.
+    /// Amount per second that is asked for at all nodes.
     fn total_asked(&self, peers: &Peers, now: Timestamp) -> f64 {
         match peers.is_uninformed {
             true => self.steady_asked(now) * peers.nodes.max(1) as f64,
@@ -160,7 +161,7 @@
         meters.map(|meter| meter.per_second(now)).sum()
     }
 
-    /// The priority that a request is admitted by.
+    /// The priority by which a request is admitted.
     fn effective_priority(&self, request: &Request, now: Timestamp) -> u8 {
         let requests = self.requests.per_second(now).max(f64::MIN_POSITIVE);
         let mean = self.steady_asked(now) / requests;
@@ -168,9 +169,9 @@
         if is_small { 0 } else { request.priority }
     }
 
-    /// The share of requests of a priority that is admitted when `share` of all are: most of the
-    /// room goes to the most urgent ones first. Their shares of what is asked are taken from what
-    /// this node sees.
+    /// The share of requests of a priority that is admitted when `share` of all requests are.
+    /// Except for the part that goes to all alike, the admitted amount goes to the most urgent
+    /// requests first. The proportions of the priorities are those that this node sees.
     fn priority_share(&self, priority: u8, share: f64, now: Timestamp) -> f64 {
         let all = self.steady_asked(now).max(f64::MIN_POSITIVE);
         let ahead = self.asked_by_priority.range(..priority);
@@ -181,8 +182,8 @@
         UNPRIORITIZED_SHARE * share + (1.0 - UNPRIORITIZED_SHARE) * urgent_first.clamp(0.0, 1.0)
     }
 
-    /// When the balance is made up for, and then spread by the request's draw, so that those that
-    /// were refused do not come back all at once.
+    /// Time until the balance has recovered, plus a part of the spread by the request's draw, so
+    /// that refused callers do not all return at once.
     fn retry_after(&self, limit: &Limit, asked: f64, draw: f64) -> Duration {
         let per_second = limit.per_second.max(f64::MIN_POSITIVE);
         let recovery_s = (-self.balance / per_second).clamp(0.0, MAX_DEBT.as_secs_f64());
--- a/crates/core/src/quota/limit.rs
+++ b/crates/core/src/quota/limit.rs
@@ -1,26 +1,26 @@
-//! What a tenant may use.
+//! Limit of a tenant.
 
 use super::Tolerance;
 
-/// Part of the burst that may be used at once; the rest is spread over the window, where requests
-/// that come steadily find it.
+/// Share of the burst that may be used at once. The rest is spread over the window, where it is
+/// available to steady traffic.
 const IMMEDIATE_BURST_SHARE: f64 = 0.25;
-/// Part of the tolerance that is used in calm times, so that little is refused that fits into the
-/// limit. The rest covers what nodes admit before they hear of each other.
+/// Share of the tolerance that is used in normal operation, so that few requests within the limit
+/// are refused. The rest covers what nodes admit before they receive each other's reports.
 const TOLERANCE_USED_SHARE: f64 = 0.3;
 
-/// What a tenant may use over all nodes together, in its unit: requests or tokens.
+/// What a tenant may use over all nodes together, in requests or tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Amount a second.
+    /// Amount per second.
     pub per_second: f64,
-    /// Amount on top, within a window of [`Tolerance`].
+    /// Additional amount within a window of [`Tolerance`].
     pub burst: f64,
 }
 
 impl Limit {
-    /// The rate and the amount at once that make the most of the limit without going beyond it, and
-    /// beyond it by a part of the tolerance, in any window.
+    /// The rate and burst that nodes enforce to make the most of the limit. In any window they
+    /// exceed the limit by at most a part of the tolerance.
     pub fn control_target(&self, tolerance: &Tolerance) -> Self {
         let window_s = tolerance.window.as_secs_f64().max(1.0);
         let in_window = self.per_second * window_s + self.burst;
--- a/crates/core/src/quota/meter.rs
+++ b/crates/core/src/quota/meter.rs
@@ -1,11 +1,11 @@
-//! A rate that was measured lately.
+//! Moving average of a rate.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Measures an amount a second, averaged over about a given time: what lies further back counts
-/// ever less.
+/// Measures an amount per second with exponential decay; `time_constant` is the approximate
+/// averaging time.
 #[derive(Debug, Clone, Copy)]
 pub struct Meter {
     time_constant: Duration,
@@ -14,7 +14,7 @@
 }
 
 impl Meter {
-    /// A meter that has seen nothing.
+    /// Creates a meter with a rate of zero.
     pub fn new(time_constant: Duration, now: Timestamp) -> Self {
         Self {
             time_constant,
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Counts an amount; a negative one takes back what was counted.
+    /// Counts an amount; a negative amount reverts an earlier one.
     pub fn count(&mut self, amount: f64, now: Timestamp) {
         let added = amount / self.time_constant.as_secs_f64();
         self.rate = (self.per_second(now) + added).max(0.0);
         self.updated_at = now;
     }
 
-    /// Amount a second.
+    /// Amount per second.
     pub fn per_second(&self, now: Timestamp) -> f64 {
         let time_constants =
             now.since(self.updated_at).as_secs_f64() / self.time_constant.as_secs_f64();
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,12 +1,12 @@
-//! Limits of tenants, held over all nodes by what each tells of its traffic.
+//! Tenant limits, enforced over all nodes by exchanging their traffic rates.
 //!
-//! Every node keeps an [`Account`] of each tenant that has a limit. It knows what it was asked for
-//! and what it admitted itself, hears the same of the others some hundred milliseconds later, and
-//! admits a share of the requests such that all nodes together admit what the limit allows. A share
-//! of requests, and not a part of the limit, because a node's part may be smaller than one request.
-//! After the global random drop of Raghavan et al., "Cloud control with distributed rate limiting";
-//! `docs/design/tenant-limits.md` compares it with a static split, a central count and the tickets
-//! of [`crate::limit`].
+//! Every node keeps an [`Account`] of each tenant that has a limit. The account knows what callers
+//! asked for and what this node admitted, receives the same from the other nodes some hundred
+//! milliseconds later, and admits such a share of the requests that all nodes together admit what
+//! the limit allows. It admits a share of the requests rather than a part of the limit, because a
+//! node's part may be smaller than one request. The design follows the global random drop of
+//! Raghavan et al., "Cloud control with distributed rate limiting"; `docs/design/tenant-limits.md`
+//! compares it with a static split, a central count and the permits of [`crate::limit`].
 
 mod account;
 mod limit;
--- a/crates/core/src/quota/peer_usage.rs
+++ b/crates/core/src/quota/peer_usage.rs
@@ -2,25 +2,26 @@
 
 use super::Usage;
 
-/// What a tenant uses at other nodes, summed up as far as it is known.
+/// What a tenant uses at all other nodes together, as far as it is known.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerUsage {
-    /// Asked for a second.
+    /// Amount per second that was asked for at all of these nodes.
     pub asked: f64,
-    /// Admitted a second at the nodes that were heard lately.
+    /// Amount per second that was admitted at nodes with a recent report.
     pub admitted: f64,
-    /// Asked for a second at the nodes that were not: what they admit must be guessed.
+    /// Amount per second that was asked for at nodes without a recent report. What they admit must
+    /// be estimated.
     pub stale: f64,
 }
 
 impl PeerUsage {
-    /// Adds the usage at nodes that told it just now.
+    /// Adds the usage at nodes with a recent report.
     pub fn add_recent(&mut self, usage: Usage) {
         self.asked += f64::from(usage.asked);
         self.admitted += f64::from(usage.admitted);
     }
 
-    /// Adds the usage at nodes that told it a while ago.
+    /// Adds the usage at nodes without a recent report.
     pub fn add_stale(&mut self, usage: Usage) {
         self.asked += f64::from(usage.asked);
         self.stale += f64::from(usage.asked);
--- a/crates/core/src/quota/peers.rs
+++ b/crates/core/src/quota/peers.rs
@@ -1,28 +1,28 @@
-//! The other nodes as limits see them.
+//! The other nodes, as quotas see them.
 
 use super::PeerUsage;
 
-/// While some nodes are silent, which of them and since when differs from node to node by up to a
-/// few seconds, so the others use this share of what is left to them.
+/// Share of the remaining limit that reachable nodes use while some nodes are silent. Which nodes
+/// are silent, and since when, differs between nodes by up to a few seconds.
 const UNCERTAINTY_FACTOR: f64 = 0.8;
 
-/// What a node knows of the others when it decides.
+/// What a node knows of the other nodes when it decides.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Peers {
-    /// All nodes that there may be, this one included; 1 or more.
+    /// Maximum number of nodes that may exist, this one included; at least 1.
     pub nodes: usize,
-    /// Those of them that are silent and may still admit requests: their even parts of the limit
+    /// Number of nodes that are silent but may still admit requests. Their equal parts of the limit
     /// are left to them.
     pub silent: usize,
-    /// Whether this node does not know what the others admit: it hears nobody, or was just
-    /// started. It then takes the others to do as it does itself.
+    /// Whether this node does not know what the others admit, because it receives no reports or has
+    /// just started. It then assumes that the others admit as much as it does itself.
     pub is_uninformed: bool,
-    /// What the others told, summed up.
+    /// Sum of the usage that the other nodes reported.
     pub others: PeerUsage,
 }
 
 impl Peers {
-    /// The peers of a node that is alone.
+    /// The peers of a single node.
     pub fn alone() -> Self {
         Self {
             nodes: 1,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Share of the limit that is left for the nodes that are heard.
+    /// Share of the limit that is left to the nodes that are not silent.
     pub(super) fn share_of_reachable(&self) -> f64 {
         let nodes = self.nodes.max(1);
         let silent = self.silent.min(nodes - 1);
--- a/crates/core/src/quota/request.rs
+++ b/crates/core/src/quota/request.rs
@@ -3,11 +3,11 @@
 /// A request as limits see it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// What it uses, in the unit of the limit.
+    /// Amount that the request uses, in the unit of the limit.
     pub amount: f64,
-    /// Its urgency among the tenant's requests, 0 first.
+    /// Priority among the tenant's requests; 0 is the most urgent.
     pub priority: u8,
-    /// A number from 0 to 1 that is drawn evenly for each request, such as from a hash of its id:
-    /// decisions repeat with it.
+    /// A number drawn uniformly from 0 to 1 for each request, such as from a hash of its id, so
+    /// that decisions are reproducible.
     pub draw: f64,
 }
--- a/crates/core/src/quota/tolerance.rs
+++ b/crates/core/src/quota/tolerance.rs
@@ -1,20 +1,21 @@
-//! How exactly limits are to be held.
+//! Permitted deviation from limits.
 
 use std::time::Duration;
 
-/// How exactly limits are to be held, as the operator sets it.
+/// How closely limits are enforced, as configured by the operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tolerance {
-    /// A tenant may use its rate times this time, and its burst, in any such time.
+    /// In any period of this length a tenant may use its rate times the period, plus its burst.
     pub window: Duration,
-    /// Share of that by which it may be exceeded, as the nodes need time to hear of each other.
+    /// Share of that amount by which it may be exceeded, because nodes take time to receive each
+    /// other's reports.
     pub overage: f64,
-    /// Amount by which it may be exceeded on top.
+    /// Additional amount by which it may be exceeded.
     pub slack: f64,
 }
 
 impl Default for Tolerance {
-    /// A window in which news reach every node many times over, and nothing beyond the limit.
+    /// A window in which reports reach every node many times, and no deviation.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(8),
--- a/crates/core/src/quota/usage.rs
+++ b/crates/core/src/quota/usage.rs
@@ -1,14 +1,14 @@
-//! What is asked for and admitted.
+//! Amounts asked for and admitted.
 
 use serde::{Deserialize, Serialize};
 
-/// What a tenant asked for and what was admitted, both a second.
+/// What a tenant asked for and what was admitted, both per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Asked for, refused requests included.
+    /// Amount asked for, including refused requests.
     #[serde(rename = "q")]
     pub asked: f32,
-    /// Admitted.
+    /// Amount admitted.
     #[serde(rename = "a")]
     pub admitted: f32,
 }
--- a/crates/core/src/quota/verdict.rs
+++ b/crates/core/src/quota/verdict.rs
@@ -1,21 +1,22 @@
-//! What becomes of a request.
+//! Decision on a request of a tenant.
 
 use std::time::Duration;
 
-/// What becomes of a request of a tenant.
+/// Decision on a request of a tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// It fits into the limit.
+    /// The request is within the limit.
     Admitted,
-    /// It does not.
+    /// The request exceeds the limit.
     Refused {
-        /// When the tenant's limit is likely to have room for it.
+        /// Time after which the tenant's limit is likely to admit the request.
         retry_after: Duration,
-        /// What all nodes may admit at once, for logs; negative after they admitted too much.
+        /// Amount that all nodes may admit at once, for logs; negative after they admitted too
+        /// much.
         balance: f64,
         /// Share of such requests that is admitted now, for logs.
         share: f64,
-        /// What the tenant asks for a second at all nodes, for logs.
+        /// Amount per second that the tenant asks for at all nodes, for logs.
         asked: f64,
     },
 }
