--- a/crates/core/src/limit/allocator_authority.rs
+++ b/crates/core/src/limit/allocator_authority.rs
@@ -21,7 +21,7 @@
     /// list nothing is granted.
     bounded_by: Option<(Vec<NodeName>, Option<Timestamp>)>,
     round: u64,
-    requested_at: Timestamp,
+    round_started_at: Timestamp,
     confirmed_by: BTreeSet<NodeName>,
     valid_until: Timestamp,
 }
@@ -29,16 +29,16 @@
 impl AllocatorAuthority {
     /// Authority of a process that sees `group` for the first time since its start.
     pub fn new(group: KeeperGroup, settings: &LimitSettings, now: Timestamp) -> Self {
-        let first = group.previous.is_empty();
+        let is_completed = group.previous.is_empty();
         let allocators = group.previous.clone();
         Self {
             group,
             bounded_by: Some((
                 allocators,
-                first.then(|| now.after(settings.authority_validity)),
+                is_completed.then(|| now.after(settings.authority_validity)),
             )),
             round: 0,
-            requested_at: Timestamp::ZERO,
+            round_started_at: Timestamp::ZERO,
             confirmed_by: BTreeSet::new(),
             valid_until: Timestamp::ZERO,
         }
@@ -55,8 +55,8 @@
         } else {
             before.keepers
         };
-        let settled = group.previous.is_empty();
-        let until = settled.then(|| now.after(settings.authority_validity));
+        let is_completed = group.previous.is_empty();
+        let until = is_completed.then(|| now.after(settings.authority_validity));
         self.bounded_by = Some((previous_allocators, until));
         if group.epoch != before.epoch {
             self.valid_until = Timestamp::ZERO;
@@ -104,11 +104,11 @@
     ) -> Vec<NodeName> {
         let half = settings.authority_validity / 2;
         let fresh = now < self.valid_until.before(half);
-        if fresh || now < self.requested_at.after(half / 4) {
+        if fresh || now < self.round_started_at.after(half / 4) {
             return Vec::new();
         }
         self.round += 1;
-        self.requested_at = now;
+        self.round_started_at = now;
         self.confirmed_by.clear();
         self.confirm(own_name.clone(), self.group.epoch, self.round, settings);
         self.voters()
@@ -130,7 +130,7 @@
         }
         self.confirmed_by.insert(from);
         if self.confirmed_by.len() > self.voters().len() / 2 {
-            self.valid_until = self.requested_at.after(settings.authority_validity);
+            self.valid_until = self.round_started_at.after(settings.authority_validity);
         }
     }
 
--- a/crates/core/src/limit/limit_allocator.rs
+++ b/crates/core/src/limit/limit_allocator.rs
@@ -65,11 +65,11 @@
         &mut self,
         event: LimitAllocatorEvent,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         match event {
             LimitAllocatorEvent::Received { from, message } => {
-                self.receive(from, message, now, sends)
+                self.receive(from, message, now, envelopes)
             }
             LimitAllocatorEvent::CatalogChanged(catalog) => self.adopt(catalog, now),
         }
@@ -99,12 +99,12 @@
         from: NodeName,
         message: LimitMessage,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         match message {
-            LimitMessage::Request(request) => self.receive_request(from, request, now, sends),
+            LimitMessage::Request(request) => self.receive_request(from, request, now, envelopes),
             LimitMessage::Ping { group, round, .. } => {
-                self.confirm_epoch(from, group, round, sends)
+                self.confirm_epoch(from, group, round, envelopes)
             }
             LimitMessage::Pong {
                 group,
@@ -114,7 +114,7 @@
                 if let Some(authority) = self.authorities.get_mut(&group) {
                     authority.confirm(from, epoch, round, &self.settings);
                 }
-                self.answer_waiting(now, sends);
+                self.answer_waiting(now, envelopes);
             }
             LimitMessage::Grant(_) => {}
         }
@@ -127,11 +127,11 @@
         from: NodeName,
         group: usize,
         round: u64,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         if let Some(known) = self.catalog.claim_roster.groups.get(group) {
             let epoch = known.epoch;
-            sends.push(LimitEnvelope {
+            envelopes.push(LimitEnvelope {
                 to: from,
                 message: LimitMessage::Pong {
                     group,
@@ -147,16 +147,16 @@
         from: NodeName,
         request: LimitRequest,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         self.remove_idle(now);
         let group =
             allocator_group(&self.catalog.claim_roster, &request.tenant).map(|(index, _)| index);
         if let Some(index) = group {
-            self.confirm_authority(index, now, sends);
+            self.confirm_authority(index, now, envelopes);
         }
         if self.is_authorized(&request.tenant, now) || request.wanted.is_zero() {
-            self.answer(from, &request, now, sends);
+            self.answer(from, &request, now, envelopes);
             return;
         }
         let expires_at = now.after(self.settings.request_timeout);
@@ -167,13 +167,13 @@
         });
     }
 
-    fn answer_waiting(&mut self, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
+    fn answer_waiting(&mut self, now: Timestamp, envelopes: &mut Vec<LimitEnvelope>) {
         for waiting in std::mem::take(&mut self.waiting) {
             if now >= waiting.expires_at {
                 continue;
             }
             if self.is_authorized(&waiting.request.tenant, now) {
-                self.answer(waiting.from, &waiting.request, now, sends);
+                self.answer(waiting.from, &waiting.request, now, envelopes);
             } else {
                 self.waiting.push(waiting);
             }
@@ -192,7 +192,7 @@
         from: NodeName,
         request: &LimitRequest,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         let granted = self.grant(&from, request, now);
         let grant = LimitGrant {
@@ -200,7 +200,7 @@
             serial: request.serial,
             granted,
         };
-        sends.push(LimitEnvelope {
+        envelopes.push(LimitEnvelope {
             to: from,
             message: grant.into(),
         });
@@ -231,13 +231,18 @@
         }
     }
 
-    fn confirm_authority(&mut self, index: usize, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
+    fn confirm_authority(
+        &mut self,
+        index: usize,
+        now: Timestamp,
+        envelopes: &mut Vec<LimitEnvelope>,
+    ) {
         let Some(authority) = self.authorities.get_mut(&index) else {
             return;
         };
         let allocators = authority.start_round(&self.name, &self.settings, now);
         let (epoch, round) = (authority.epoch(), authority.round());
-        sends.extend(allocators.into_iter().map(|to| LimitEnvelope {
+        envelopes.extend(allocators.into_iter().map(|to| LimitEnvelope {
             to,
             message: LimitMessage::Ping {
                 group: index,
--- a/crates/core/src/limit/limit_client.rs
+++ b/crates/core/src/limit/limit_client.rs
@@ -68,14 +68,14 @@
         tenant: &TenantName,
         cost: &LimitCost,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) -> LimitDecision {
         let Some(limits) = self.limits(tenant) else {
             return LimitDecision::Allowed;
         };
         let account = self.accounts.entry(tenant.clone()).or_default();
         account.record_demand(cost, &self.settings, now);
-        self.spend_or_request(tenant, &limits, cost, now, sends)
+        self.spend_or_request(tenant, &limits, cost, now, envelopes)
     }
 
     /// Tries again for a request that got [`LimitDecision::Waiting`], without counting its demand
@@ -85,12 +85,12 @@
         tenant: &TenantName,
         cost: &LimitCost,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) -> LimitDecision {
         let Some(limits) = self.limits(tenant) else {
             return LimitDecision::Allowed;
         };
-        self.spend_or_request(tenant, &limits, cost, now, sends)
+        self.spend_or_request(tenant, &limits, cost, now, envelopes)
     }
 
     fn spend_or_request(
@@ -99,7 +99,7 @@
         limits: &TenantLimits,
         cost: &LimitCost,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) -> LimitDecision {
         let account = self.accounts.entry(tenant.clone()).or_default();
         if account.spend(limits, cost, now) {
@@ -118,7 +118,7 @@
             let retry_after = self.settings.retry_after;
             return LimitDecision::Denied { retry_after };
         }
-        self.request(tenant, wanted, cost.tokens, allocators, now, sends);
+        self.request(tenant, wanted, cost.tokens, allocators, now, envelopes);
         LimitDecision::Waiting
     }
 
@@ -135,7 +135,7 @@
         from: &NodeName,
         grant: &LimitGrant,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         let validity = self.settings.permit_validity;
         let Some(account) = self.accounts.get_mut(&grant.tenant) else {
@@ -161,16 +161,16 @@
             min_tokens,
             pending.next_allocators,
             now,
-            sends,
+            envelopes,
         );
     }
 
     /// Handles time-outs: gives up on allocators that do not answer, and reports running streams.
-    pub fn tick(&mut self, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
+    pub fn tick(&mut self, now: Timestamp, envelopes: &mut Vec<LimitEnvelope>) {
         let tenants: Vec<TenantName> = self.accounts.keys().cloned().collect();
         for tenant in &tenants {
-            self.expire_request(tenant, now, sends);
-            self.renew(tenant, now, sends);
+            self.expire_request(tenant, now, envelopes);
+            self.renew(tenant, now, envelopes);
         }
         self.accounts.retain(|_, account| {
             let holds = account.streams_running > 0 || account.held() > 0;
@@ -205,7 +205,7 @@
         min_tokens: u64,
         mut allocators: Vec<NodeName>,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         let allocator = allocators.remove(0);
         self.last_serial += 1;
@@ -233,7 +233,7 @@
             min_tokens,
             streams_held,
         };
-        sends.push(LimitEnvelope {
+        envelopes.push(LimitEnvelope {
             to: allocator,
             message: request.into(),
         });
@@ -246,7 +246,7 @@
         min_tokens: u64,
         allocators: Vec<NodeName>,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         if wanted.is_zero() {
             return;
@@ -258,14 +258,14 @@
             }
             return;
         }
-        self.request(tenant, wanted, min_tokens, allocators, now, sends);
+        self.request(tenant, wanted, min_tokens, allocators, now, envelopes);
     }
 
     fn expire_request(
         &mut self,
         tenant: &TenantName,
         now: Timestamp,
-        sends: &mut Vec<LimitEnvelope>,
+        envelopes: &mut Vec<LimitEnvelope>,
     ) {
         let timeout = self.settings.request_timeout;
         let Some(account) = self.accounts.get_mut(tenant) else {
@@ -292,12 +292,12 @@
             min_tokens,
             pending.next_allocators,
             now,
-            sends,
+            envelopes,
         );
     }
 
     /// Reports to every allocator that counts streams of this process how many the process holds.
-    fn renew(&mut self, tenant: &TenantName, now: Timestamp, sends: &mut Vec<LimitEnvelope>) {
+    fn renew(&mut self, tenant: &TenantName, now: Timestamp, envelopes: &mut Vec<LimitEnvelope>) {
         let renew_at = now.after(self.settings.renew_interval);
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
@@ -324,7 +324,7 @@
                 min_tokens: 0,
                 streams_held,
             };
-            sends.push(LimitEnvelope {
+            envelopes.push(LimitEnvelope {
                 to: allocator,
                 message: request.into(),
             });
--- a/crates/core/src/quota/account.rs
+++ b/crates/core/src/quota/account.rs
@@ -68,7 +68,7 @@
         let elapsed = now.since(self.balanced_at).as_secs_f64();
         self.balanced_at = now;
         let others = match peers.is_uninformed {
-            // Subtracted as this node admits, see `charge`.
+            // An uninformed node subtracts this in `charge` instead, as it admits.
             true => 0.0,
             // Nodes without a recent report are assumed to admit the same share as this node. The
             // rate they last reported may date from a moment at which they compensated for a surge.
