--- a/crates/core/src/placement/cache_directory.rs
+++ b/crates/core/src/placement/cache_directory.rs
@@ -5,7 +5,7 @@
 use crate::timestamp::Timestamp;
 
 /// Maximum number of engines kept per prefix; the least recently used is evicted first.
-const HOLDERS_PER_PREFIX: usize = 8;
+const MAX_HOLDERS_PER_PREFIX: usize = 8;
 
 /// Which engines were sent which prefixes, learned from this process's own requests; bounded in
 /// size.
@@ -73,7 +73,7 @@
 fn insert_holder(holders: &mut Vec<Holder>, holder: Holder) {
     holders.retain(|known| known.engine != holder.engine);
     holders.push(holder);
-    if holders.len() > HOLDERS_PER_PREFIX {
+    if holders.len() > MAX_HOLDERS_PER_PREFIX {
         let oldest = (0..holders.len())
             .min_by_key(|index| holders[*index].used_at)
             .expect("not empty");
--- a/crates/core/src/quota/account.rs
+++ b/crates/core/src/quota/account.rs
@@ -18,7 +18,7 @@
 /// A new account begins with this much of the limit used up, because the process may have been
 /// restarted and lost what it admitted before.
 const PRESUMED_USE: Duration = Duration::from_secs(1);
-/// Bounds the time over which usage beyond the limit is compensated.
+/// Maximum debt after usage beyond the limit, as the time in which the limit compensates it.
 const MAX_DEBT: Duration = Duration::from_secs(4);
 /// Share of the admitted amount that goes to all requests alike, so that no priority is shut out.
 /// The rest goes to the most urgent requests first.
