--- a/crates/core/src/dispatch/dispatcher/answers.rs
+++ b/crates/core/src/dispatch/dispatcher/answers.rs
@@ -30,7 +30,7 @@
         // The cache that is being filled is that of the process that answered.
         if let Some(record) = self.requests.get(&request) {
             self.knowledge
-                .note(&record.points, key, engine.epoch(), now);
+                .record(&record.points, key, engine.epoch(), now);
         }
     }
 
--- a/crates/core/src/dispatch/dispatcher/attempt_ends.rs
+++ b/crates/core/src/dispatch/dispatcher/attempt_ends.rs
@@ -95,7 +95,7 @@
             return;
         };
         match outcome {
-            AttemptOutcome::NotRun(_) => self.knowledge.forget(&record.points, ended.engine),
+            AttemptOutcome::NotRun(_) => self.knowledge.remove(&record.points, ended.engine),
             AttemptOutcome::Completed => {
                 let pool = self
                     .pools
@@ -113,7 +113,7 @@
                     return;
                 }
                 self.knowledge
-                    .note(&record.points, ended.engine, engine.epoch(), now);
+                    .record(&record.points, ended.engine, engine.epoch(), now);
                 let cached = observation.and_then(|observation| observation.cached_tokens);
                 if let Some(cached) = cached {
                     let prompt = observation
--- a/crates/core/src/dispatch/dispatcher/starting.rs
+++ b/crates/core/src/dispatch/dispatcher/starting.rs
@@ -39,7 +39,7 @@
         }
         if resumes.is_none() {
             self.knowledge
-                .note(&record.points, choice.engine, engine.epoch(), now);
+                .record(&record.points, choice.engine, engine.epoch(), now);
         }
         let back_end = choice.back_end;
         let assignment = Assignment {
--- a/crates/core/src/placement/cache_directory.rs
+++ b/crates/core/src/placement/cache_directory.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records that an engine was sent a prompt, so its cache holds all prefixes of it.
-    pub fn note(
+    pub fn record(
         &mut self,
         points: &PlacementPoints,
         engine: EngineKey,
@@ -46,7 +46,7 @@
     }
 
     /// Removes the record of a prompt that an engine did not accept after all.
-    pub fn forget(&mut self, points: &PlacementPoints, engine: EngineKey) {
+    pub fn remove(&mut self, points: &PlacementPoints, engine: EngineKey) {
         for point in points.all() {
             if let Some(holders) = self.holders.get_mut(point.hash) {
                 holders.retain(|holder| holder.engine != engine);
