--- a/crates/core/src/limit/bank_account.rs
+++ b/crates/core/src/limit/allocator_account.rs
@@ -1,4 +1,4 @@
-//! A tenant's account at a bank.
+//! A tenant's account at an allocator.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,45 +7,46 @@
 use crate::identity::NodeName;
 use crate::timestamp::Timestamp;
 
-use super::{LimitAsk, LimitCost, LimitSettings, TokenBucket};
+use super::{LimitCost, LimitRequest, LimitSettings, TokenBucket};
 
-/// Tickets for a second of traffic may be handed out at once.
+/// Permits for this much traffic may be granted at once.
 const BURST: Duration = Duration::from_secs(1);
 const MILLI: u64 = 1_000;
 
-/// What a bank knows of one borrower.
+/// What an allocator knows of one client.
 #[derive(Debug, Clone, Default)]
-struct Borrower {
+struct ClientRecord {
     serial: u64,
     streams: u64,
-    heard_at: Timestamp,
+    reported_at: Timestamp,
 }
 
-/// A tenant's account at a bank: its part of the limits, and who holds streams.
+/// A tenant's account at an allocator: the allocator's share of the limits, and the streams that
+/// clients hold.
 #[derive(Debug, Clone)]
-pub(super) struct BankAccount {
+pub(super) struct AllocatorAccount {
     requests: Option<TokenBucket>,
     tokens: Option<TokenBucket>,
     streams: Option<u64>,
-    borrowers: BTreeMap<NodeName, Borrower>,
+    clients: BTreeMap<NodeName, ClientRecord>,
     opened_at: Timestamp,
     used_at: Timestamp,
 }
 
-impl BankAccount {
-    /// An account of a bank that has handed out no ticket of it since `opened_at`.
+impl AllocatorAccount {
+    /// Opens the account of an allocator that has granted no permits from it since `opened_at`.
     pub fn new(opened_at: Timestamp, now: Timestamp) -> Self {
         Self {
             requests: None,
             tokens: None,
             streams: None,
-            borrowers: BTreeMap::new(),
+            clients: BTreeMap::new(),
             opened_at,
             used_at: now,
         }
     }
 
-    /// Sets this bank's part of the limits; `share` gives the part of a whole.
+    /// Sets this allocator's share of the limits; `share` returns its share of a total.
     pub fn set_limits(
         &mut self,
         limits: &TenantLimits,
@@ -62,41 +63,42 @@
             .map(|limit| share(u64::from(limit)));
     }
 
-    /// When it was last asked of.
+    /// When a client last sent a request to this account.
     pub fn used_at(&self) -> Timestamp {
         self.used_at
     }
 
-    /// Notes what the ask says of running streams; whether it is newer than all before.
-    pub fn note(&mut self, from: &NodeName, ask: &LimitAsk, now: Timestamp) -> bool {
+    /// Records the streams that the request reports as held. Returns whether the request is newer
+    /// than all earlier ones of the client.
+    pub fn record(&mut self, from: &NodeName, request: &LimitRequest, now: Timestamp) -> bool {
         self.used_at = now;
-        let borrower = self.borrowers.entry(from.clone()).or_default();
-        if ask.serial <= borrower.serial {
+        let client = self.clients.entry(from.clone()).or_default();
+        if request.serial <= client.serial {
             return false;
         }
-        borrower.serial = ask.serial;
-        borrower.streams = ask.streams_held;
-        borrower.heard_at = now;
+        client.serial = request.serial;
+        client.streams = request.streams_held;
+        client.reported_at = now;
         true
     }
 
-    /// Grants what there is of what is wanted.
+    /// Grants as much as possible of what is wanted.
     pub fn grant(
         &mut self,
         from: &NodeName,
-        ask: &LimitAsk,
+        request: &LimitRequest,
         settings: &LimitSettings,
         now: Timestamp,
     ) -> LimitCost {
-        self.forget_silent(settings, now);
-        let wanted = &ask.wanted;
+        self.remove_silent(settings, now);
+        let wanted = &request.wanted;
         let streams = self.grant_streams(from, wanted.streams, settings, now);
         let requests = match &mut self.requests {
             Some(bucket) => bucket.take(wanted.requests, now),
             None => wanted.requests,
         };
         let tokens = match &mut self.tokens {
-            Some(bucket) => bucket.take_at_least(ask.least_tokens, wanted.tokens, now),
+            Some(bucket) => bucket.take_at_least(request.min_tokens, wanted.tokens, now),
             None => wanted.tokens,
         };
         LimitCost {
@@ -116,21 +118,22 @@
         let Some(limit) = self.streams else {
             return wanted;
         };
-        // After a restart the bank first hears, from each borrower, of the streams that run.
+        // After a restart the allocator first waits until each client has reported its running
+        // streams.
         if now < self.opened_at.after(settings.renew_interval * 2) {
             return 0;
         }
-        let out: u64 = self.borrowers.values().map(|known| known.streams).sum();
-        let granted = wanted.min(limit.saturating_sub(out));
-        if let Some(borrower) = self.borrowers.get_mut(from) {
-            borrower.streams += granted;
+        let allocated: u64 = self.clients.values().map(|known| known.streams).sum();
+        let granted = wanted.min(limit.saturating_sub(allocated));
+        if let Some(client) = self.clients.get_mut(from) {
+            client.streams += granted;
         }
         granted
     }
 
-    fn forget_silent(&mut self, settings: &LimitSettings, now: Timestamp) {
-        self.borrowers
-            .retain(|_, borrower| now < borrower.heard_at.after(settings.stream_hold));
+    fn remove_silent(&mut self, settings: &LimitSettings, now: Timestamp) {
+        self.clients
+            .retain(|_, client| now < client.reported_at.after(settings.stream_retention));
     }
 }
 
--- a/crates/core/src/limit/bank_authority.rs
+++ b/crates/core/src/limit/allocator_authority.rs
@@ -1,4 +1,4 @@
-//! Authority of a bank in one group.
+//! Authority of an allocator in one group.
 
 use std::collections::BTreeSet;
 
@@ -8,58 +8,64 @@
 
 use super::LimitSettings;
 
-/// Authority of a bank in one group.
+/// Authority of an allocator in one group.
 ///
-/// A bank hands out tickets only while a majority of its group has lately confirmed its epoch. So
-/// a bank that was replaced but can't hear of it stops, and after as long its successor may start.
+/// An allocator grants permits only while a majority of its group has recently confirmed its epoch.
+/// An allocator that was replaced while it was isolated therefore stops granting, and its successor
+/// may start after the same time.
 #[derive(Debug, Clone)]
-pub(super) struct BankAuthority {
+pub(super) struct AllocatorAuthority {
     group: KeeperGroup,
-    /// Banks of the epoch before, whose shares still bound this bank's until the time, and for
-    /// good while the change is not settled. Without banks nothing is handed out.
+    /// Allocators of the previous epoch, whose shares still bound those of this allocator until the
+    /// given time, or indefinitely while the change of the group is not completed. With an empty
+    /// list nothing is granted.
     bounded_by: Option<(Vec<NodeName>, Option<Timestamp>)>,
     round: u64,
-    asked_at: Timestamp,
+    round_started_at: Timestamp,
     confirmed_by: BTreeSet<NodeName>,
     valid_until: Timestamp,
 }
 
-impl BankAuthority {
+impl AllocatorAuthority {
     /// Authority of a process that sees `group` for the first time since its start.
     pub fn new(group: KeeperGroup, settings: &LimitSettings, now: Timestamp) -> Self {
-        let first = group.previous.is_empty();
-        let banks = group.previous.clone();
+        let is_completed = group.previous.is_empty();
+        let allocators = group.previous.clone();
         Self {
             group,
-            bounded_by: Some((banks, first.then(|| now.after(settings.authority_validity)))),
+            bounded_by: Some((
+                allocators,
+                is_completed.then(|| now.after(settings.authority_validity)),
+            )),
             round: 0,
-            asked_at: Timestamp::ZERO,
+            round_started_at: Timestamp::ZERO,
             confirmed_by: BTreeSet::new(),
             valid_until: Timestamp::ZERO,
         }
     }
 
-    /// Takes a new state of the group.
+    /// Applies a new state of the group.
     pub fn adopt(&mut self, group: &KeeperGroup, settings: &LimitSettings, now: Timestamp) {
         if *group == self.group {
             return;
         }
         let before = std::mem::replace(&mut self.group, group.clone());
-        let banks_before = if group.epoch == before.epoch {
+        let previous_allocators = if group.epoch == before.epoch {
             before.previous
         } else {
             before.keepers
         };
-        let settled = group.previous.is_empty();
-        let until = settled.then(|| now.after(settings.authority_validity));
-        self.bounded_by = Some((banks_before, until));
+        let is_completed = group.previous.is_empty();
+        let until = is_completed.then(|| now.after(settings.authority_validity));
+        self.bounded_by = Some((previous_allocators, until));
         if group.epoch != before.epoch {
             self.valid_until = Timestamp::ZERO;
             self.confirmed_by.clear();
         }
     }
 
-    /// Since when nothing but its own group bounds this bank's shares; `now` while more does.
+    /// Since when this allocator's shares are bounded only by its own group; `now` while they are
+    /// bounded further.
     pub fn unbounded_since(&self, now: Timestamp) -> Timestamp {
         match &self.bounded_by {
             Some((_, Some(until))) => now.min(*until),
@@ -68,28 +74,28 @@
         }
     }
 
-    /// The epoch.
+    /// Epoch of the group.
     pub fn epoch(&self) -> u64 {
         self.group.epoch
     }
 
-    /// Whether tickets may be handed out now.
+    /// Whether permits may be granted now.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         now < self.valid_until
     }
 
-    /// Sets of banks whose smallest share counts.
-    pub fn bank_sets(&self, now: Timestamp) -> Vec<&[NodeName]> {
+    /// Sets of allocators to compute a share from; the smallest share applies.
+    pub fn allocator_sets(&self, now: Timestamp) -> Vec<&[NodeName]> {
         let mut sets = vec![self.group.keepers.as_slice()];
-        if let Some((banks, until)) = &self.bounded_by
+        if let Some((allocators, until)) = &self.bounded_by
             && until.is_none_or(|until| now < until)
         {
-            sets.push(banks);
+            sets.push(allocators);
         }
         sets
     }
 
-    /// Banks to ask for confirmation, when it is time to.
+    /// Starts a round of confirmations when one is due; returns the allocators to ask.
     pub fn start_round(
         &mut self,
         own_name: &NodeName,
@@ -98,11 +104,11 @@
     ) -> Vec<NodeName> {
         let half = settings.authority_validity / 2;
         let fresh = now < self.valid_until.before(half);
-        if fresh || now < self.asked_at.after(half / 4) {
+        if fresh || now < self.round_started_at.after(half / 4) {
             return Vec::new();
         }
         self.round += 1;
-        self.asked_at = now;
+        self.round_started_at = now;
         self.confirmed_by.clear();
         self.confirm(own_name.clone(), self.group.epoch, self.round, settings);
         self.voters()
@@ -117,18 +123,19 @@
         self.round
     }
 
-    /// Takes a confirmation; it counts from when the round was started.
+    /// Applies a confirmation. It is valid from the start of the round.
     pub fn confirm(&mut self, from: NodeName, epoch: u64, round: u64, settings: &LimitSettings) {
         if round != self.round || epoch != self.group.epoch || !self.voters().contains(&from) {
             return;
         }
         self.confirmed_by.insert(from);
         if self.confirmed_by.len() > self.voters().len() / 2 {
-            self.valid_until = self.asked_at.after(settings.authority_validity);
+            self.valid_until = self.round_started_at.after(settings.authority_validity);
         }
     }
 
-    /// While a change is not settled only a majority of the banks before ends their authority.
+    /// Allocators whose majority must confirm the epoch. Until a change is completed these are the
+    /// previous ones, because only a majority of them ends their authority.
     fn voters(&self) -> &[NodeName] {
         if self.group.previous.is_empty() {
             &self.group.keepers
--- a/crates/core/src/limit/limit_send.rs
+++ b/crates/core/src/limit/limit_envelope.rs
@@ -1,12 +1,13 @@
-//! A message to send.
+//! A limit message with its receiver.
 
 use crate::identity::NodeName;
 
 use super::LimitMessage;
 
-/// A message to send to another router process (or to this one: a bank may be its own borrower).
+/// A message to send to another router process, or to this one, because an allocator may be its own
+/// client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LimitSend {
+pub struct LimitEnvelope {
     /// The receiver.
     pub to: NodeName,
     /// The message.
--- a/crates/core/src/placement/cache_knowledge.rs
+++ b/crates/core/src/placement/cache_directory.rs
@@ -1,31 +1,33 @@
-//! What is known of the caches of engines.
+//! Engines whose caches hold a prefix.
 
 use super::{CacheEpoch, EngineKey, GenerationalMap, Holder, PlacementPoints};
 use crate::prompt::BlockHash;
 use crate::timestamp::Timestamp;
 
-/// Most engines remembered for one prefix; the least recently used is forgotten first.
-const HOLDERS_PER_PREFIX: usize = 8;
+/// Maximum number of engines kept per prefix; the least recently used is evicted first.
+const MAX_HOLDERS_PER_PREFIX: usize = 8;
 
-/// Which engines were given which prefixes, learnt from this process's own requests; bounded.
+/// Which engines were sent which prefixes, learned from this process's own requests; bounded in
+/// size.
 ///
-/// Each entry names the [`CacheEpoch`] it speaks of, and [`CacheKnowledge::holders`] leaves out
-/// those of any other, so nothing known of a dead incarnation or of other weights is ever used.
+/// Each entry records the [`CacheEpoch`] in which it was made, and [`CacheDirectory::holders`]
+/// skips entries of any other epoch. Entries of a dead incarnation or of other weights are
+/// therefore never used.
 #[derive(Debug, Clone)]
-pub struct CacheKnowledge {
+pub struct CacheDirectory {
     holders: GenerationalMap<Vec<Holder>>,
 }
 
-impl CacheKnowledge {
-    /// Knows nothing; remembers up to twice `generation_size` prefixes.
+impl CacheDirectory {
+    /// Creates an empty directory of at most twice `generation_size` prefixes.
     pub fn new(generation_size: usize) -> Self {
         Self {
             holders: GenerationalMap::new(generation_size),
         }
     }
 
-    /// Notes that an engine was given a prompt: its cache holds all its prefixes.
-    pub fn note(
+    /// Records that an engine was sent a prompt, so its cache holds all prefixes of it.
+    pub fn record(
         &mut self,
         points: &PlacementPoints,
         engine: EngineKey,
@@ -39,12 +41,12 @@
         };
         for point in points.all() {
             let holders = self.holders.get_or_insert_with(point.hash, Vec::new);
-            put(holders, holder);
+            insert_holder(holders, holder);
         }
     }
 
-    /// Notes that an engine did not take a prompt after all.
-    pub fn forget(&mut self, points: &PlacementPoints, engine: EngineKey) {
+    /// Removes the record of a prompt that an engine did not accept after all.
+    pub fn remove(&mut self, points: &PlacementPoints, engine: EngineKey) {
         for point in points.all() {
             if let Some(holders) = self.holders.get_mut(point.hash) {
                 holders.retain(|holder| holder.engine != engine);
@@ -52,7 +54,8 @@
         }
     }
 
-    /// The engines whose cache, in its current life as `epoch_of` tells it, was given the prefix.
+    /// Engines that were sent the prefix in the current epoch of their cache, which `epoch_of`
+    /// returns.
     pub fn holders<'a>(
         &'a self,
         prefix: BlockHash,
@@ -67,10 +70,10 @@
     }
 }
 
-fn put(holders: &mut Vec<Holder>, holder: Holder) {
+fn insert_holder(holders: &mut Vec<Holder>, holder: Holder) {
     holders.retain(|known| known.engine != holder.engine);
     holders.push(holder);
-    if holders.len() > HOLDERS_PER_PREFIX {
+    if holders.len() > MAX_HOLDERS_PER_PREFIX {
         let oldest = (0..holders.len())
             .min_by_key(|index| holders[*index].used_at)
             .expect("not empty");
--- a/crates/core/src/placement/pool_index.rs
+++ b/crates/core/src/placement/pool_index.rs
@@ -1,4 +1,4 @@
-//! The back ends of a pool, ready for placement.
+//! The back ends of a pool, indexed for placement.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -6,12 +6,12 @@
 use super::{EngineKey, PoolMember};
 use crate::identity::DataCentreName;
 
-/// The back ends of a pool that may take new work, by data centre. It is built once for each
+/// The back ends of a pool that may take new work, by data centre. It is built once per catalog
 /// snapshot, so that placing a request neither searches the catalog nor hashes names.
 #[derive(Debug, Clone, Default)]
 pub struct PoolIndex {
     members: Vec<PoolMember>,
-    sites: BTreeMap<DataCentreName, Range<usize>>,
+    data_centres: BTreeMap<DataCentreName, Range<usize>>,
     positions: BTreeMap<EngineKey, usize>,
 }
 
@@ -22,42 +22,45 @@
             let left = (&left.back_end.data_centre, &left.back_end.name);
             left.cmp(&(&right.back_end.data_centre, &right.back_end.name))
         });
-        let mut sites: BTreeMap<DataCentreName, Range<usize>> = BTreeMap::new();
+        let mut data_centres: BTreeMap<DataCentreName, Range<usize>> = BTreeMap::new();
         let mut positions = BTreeMap::new();
         for (position, member) in members.iter().enumerate() {
-            let site = member.back_end.data_centre.clone();
-            sites.entry(site).or_insert(position..position).end = position + 1;
+            let data_centre = member.back_end.data_centre.clone();
+            data_centres
+                .entry(data_centre)
+                .or_insert(position..position)
+                .end = position + 1;
             positions.insert(member.key, position);
         }
         Self {
             members,
-            sites,
+            data_centres,
             positions,
         }
     }
 
-    /// Its data centres.
+    /// Data centres of the back ends.
     pub fn data_centres(&self) -> impl Iterator<Item = &DataCentreName> {
-        self.sites.keys()
+        self.data_centres.keys()
     }
 
-    /// All its back ends, by data centre and name.
+    /// All back ends, ordered by data centre and name.
     pub fn members(&self) -> &[PoolMember] {
         &self.members
     }
 
-    /// Positions of the back ends in these data centres among all.
+    /// Positions among all members of the back ends in these data centres.
     pub fn positions_in<'a>(
         &'a self,
         data_centres: &'a [DataCentreName],
     ) -> impl Iterator<Item = usize> + 'a {
         data_centres
             .iter()
-            .filter_map(|data_centre| self.sites.get(data_centre))
+            .filter_map(|data_centre| self.data_centres.get(data_centre))
             .flat_map(Range::clone)
     }
 
-    /// Position of a back end among all.
+    /// Position of a back end among all members.
     pub fn position(&self, key: EngineKey) -> Option<usize> {
         self.positions.get(&key).copied()
     }
--- /dev/null
+++ b/crates/core/src/quota/request.rs
@@ -0,0 +1,13 @@
+//! A request as limits see it.
+
+/// A request as limits see it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Request {
+    /// Amount that the request uses, in the unit of the limit.
+    pub amount: f64,
+    /// Priority among the tenant's requests; 0 is the most urgent.
+    pub priority: u8,
+    /// A number drawn uniformly from 0 to 1 for each request, such as from a hash of its id, so
+    /// that decisions are reproducible.
+    pub draw: f64,
+}
