--- a/crates/core/src/claim/claim_client.rs
+++ b/crates/core/src/claim/claim_client.rs
@@ -9,9 +9,9 @@
 use super::pending_claim::PendingClaim;
 use super::pending_release::PendingRelease;
 use super::{
-    ClaimAsk, ClaimClientAction, ClaimClientEvent, ClaimGrant, ClaimId, ClaimMessage, ClaimOutcome,
-    ClaimRelease, ClaimRoster, ClaimSend, ClaimSettings, ClaimVerdict, ClaimVote, KeyDigest,
-    issued_at,
+    ClaimClientAction, ClaimClientEvent, ClaimEnvelope, ClaimGrant, ClaimId, ClaimMessage,
+    ClaimOutcome, ClaimRelease, ClaimRoster, ClaimSettings, ClaimVerdict, ClaimVote, KeyDigest,
+    VoteRequest, issued_at,
 };
 
 /// Odd multiplier of the sequence of claim ids (64-bit golden ratio); visits every number once.
@@ -54,8 +54,8 @@
 
     /// When the next [`ClaimClientEvent::Tick`] is due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let decisions = self.pending.values().map(|claim| claim.decide_by);
-        let sends = self.releases.values().map(|release| release.send_at);
+        let decisions = self.pending.values().map(|claim| claim.vote_deadline);
+        let sends = self.releases.values().map(|release| release.next_send_at);
         decisions.chain(sends).min()
     }
 
@@ -72,7 +72,7 @@
                 tenant,
                 key,
             } => self.request(request, &tenant, &key, now, actions),
-            ClaimClientEvent::NotRun { claim } => self.give_back(claim, now, actions),
+            ClaimClientEvent::NotRun { claim } => self.release_unrun(claim, now, actions),
             ClaimClientEvent::Ended { claim } => {
                 self.held.remove(&claim);
             }
@@ -94,7 +94,7 @@
     ) {
         let issued_at = issued_at(key);
         let digest = KeyDigest::of(tenant, key);
-        let decided = self.decide_alone(issued_at, now);
+        let decided = self.decide_from_issue_time(issued_at, now);
         let group = self.roster.group_of(digest).cloned();
         let (Some(group), None) = (group, decided) else {
             let outcome = decided.unwrap_or(self.unavailable(self.settings.retry_after));
@@ -102,13 +102,13 @@
             return;
         };
         let claim = self.next_claim_id();
-        let decide_by = now.after(self.settings.vote_timeout);
-        let ask = ClaimAsk {
+        let vote_deadline = now.after(self.settings.vote_timeout);
+        let ask = VoteRequest {
             claim,
             digest,
             issued_at,
             epoch: group.epoch,
-            valid_until: decide_by.after(self.settings.clock_tolerance),
+            valid_until: vote_deadline.after(self.settings.clock_tolerance),
         };
         push_sends(&group.keepers, &ask.into(), actions);
         let pending = PendingClaim {
@@ -116,14 +116,18 @@
             digest,
             group,
             asked_at: now,
-            decide_by,
+            vote_deadline,
             verdicts: BTreeMap::new(),
         };
         self.pending.insert(claim, pending);
     }
 
     /// The outcome that follows from the key's issue time alone.
-    fn decide_alone(&self, issued_at: Option<Timestamp>, now: Timestamp) -> Option<ClaimOutcome> {
+    fn decide_from_issue_time(
+        &self,
+        issued_at: Option<Timestamp>,
+        now: Timestamp,
+    ) -> Option<ClaimOutcome> {
         let issued_at = issued_at?;
         if issued_at < now.before(self.settings.lifetime) {
             return Some(ClaimOutcome::KeyExpired);
@@ -172,12 +176,12 @@
         let Some(pending) = self.pending.get(&claim) else {
             return;
         };
-        let timed_out = now >= pending.decide_by;
+        let timed_out = now >= pending.vote_deadline;
         // A vote that arrives after a long pause of this process is no leave to dispatch.
         if pending.is_granted() && !timed_out {
             self.grant(claim, actions);
-        } else if pending.is_lost() || timed_out {
-            self.lose(claim, now, actions);
+        } else if pending.cannot_succeed() || timed_out {
+            self.fail(claim, now, actions);
         }
     }
 
@@ -200,11 +204,11 @@
         });
     }
 
-    fn lose(&mut self, claim: ClaimId, now: Timestamp, actions: &mut Vec<ClaimClientAction>) {
+    fn fail(&mut self, claim: ClaimId, now: Timestamp, actions: &mut Vec<ClaimClientAction>) {
         let Some(pending) = self.pending.remove(&claim) else {
             return;
         };
-        let outcome = self.outcome_of_loss(&pending, now);
+        let outcome = self.failure_outcome(&pending, now);
         actions.push(ClaimClientAction::Decided {
             request: pending.request,
             outcome,
@@ -212,20 +216,27 @@
         self.start_release(claim, pending.digest, &pending.group.keepers, now, actions);
     }
 
-    fn outcome_of_loss(&self, pending: &PendingClaim, now: Timestamp) -> ClaimOutcome {
-        if pending.any(ClaimVerdict::Held) {
+    fn failure_outcome(&self, pending: &PendingClaim, now: Timestamp) -> ClaimOutcome {
+        if pending.has_verdict(ClaimVerdict::Held) {
             return ClaimOutcome::AlreadyClaimed;
         }
-        if pending.any(ClaimVerdict::Expired) {
+        if pending.has_verdict(ClaimVerdict::Expired) {
             return ClaimOutcome::KeyExpired;
         }
-        let known_in = pending
-            .known_from()
-            .map_or(Duration::ZERO, |known_from| known_from.since(now));
-        self.unavailable(known_in.max(self.settings.retry_after))
+        let wait = pending
+            .majority_knows_from()
+            .map_or(Duration::ZERO, |majority_knows_from| {
+                majority_knows_from.since(now)
+            });
+        self.unavailable(wait.max(self.settings.retry_after))
     }
 
-    fn give_back(&mut self, claim: ClaimId, now: Timestamp, actions: &mut Vec<ClaimClientAction>) {
+    fn release_unrun(
+        &mut self,
+        claim: ClaimId,
+        now: Timestamp,
+        actions: &mut Vec<ClaimClientAction>,
+    ) {
         let Some(held) = self.held.remove(&claim) else {
             return;
         };
@@ -243,8 +254,8 @@
         let release = PendingRelease {
             release: ClaimRelease { claim, digest },
             unacknowledged: keepers.iter().cloned().collect(),
-            sends_left: self.settings.release_sends,
-            send_at: now,
+            sends_left: self.settings.max_release_sends,
+            next_send_at: now,
         };
         self.releases.insert(claim, release);
         self.send_release(claim, now, actions);
@@ -264,7 +275,7 @@
             return;
         }
         pending.sends_left -= 1;
-        pending.send_at = now.after(self.settings.release_interval);
+        pending.next_send_at = now.after(self.settings.release_interval);
         let message = ClaimMessage::Release(pending.release.clone());
         push_sends(&pending.unacknowledged, &message, actions);
     }
@@ -287,7 +298,7 @@
         let due: Vec<ClaimId> = self
             .releases
             .iter()
-            .filter(|(_, release)| release.send_at <= now)
+            .filter(|(_, release)| release.next_send_at <= now)
             .map(|(claim, _)| *claim)
             .collect();
         for claim in due {
@@ -311,7 +322,7 @@
     actions: &mut Vec<ClaimClientAction>,
 ) {
     for keeper in keepers {
-        let send = ClaimSend {
+        let send = ClaimEnvelope {
             to: keeper.clone(),
             message: message.clone(),
         };
--- a/crates/core/src/claim/claim_client_action.rs
+++ b/crates/core/src/claim/claim_client_action.rs
@@ -4,13 +4,13 @@
 
 use crate::identity::RequestId;
 
-use super::{ClaimOutcome, ClaimSend};
+use super::{ClaimEnvelope, ClaimOutcome};
 
 /// What a [`super::ClaimClient`] wants done.
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 pub enum ClaimClientAction {
     /// Send a message.
-    Send(ClaimSend),
+    Send(ClaimEnvelope),
     /// The claim of a request is decided; said once a request.
     #[from(skip)]
     Decided {
--- a/crates/core/src/claim/claim_send.rs
+++ b/crates/core/src/claim/claim_envelope.rs
@@ -6,7 +6,7 @@
 
 /// A message to send to another router process (or to this one: a keeper may be its own client).
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimSend {
+pub struct ClaimEnvelope {
     /// The receiver.
     pub to: NodeName,
     /// The message.
--- a/crates/core/src/claim/claim_keeper.rs
+++ b/crates/core/src/claim/claim_keeper.rs
@@ -7,25 +7,25 @@
 use crate::timestamp::Timestamp;
 
 use super::expiry_queue::ExpiryQueue;
-use super::keeper_memory::KeeperMemory;
-use super::memory_copy::MemoryCopy;
+use super::record_coverage::RecordCoverage;
+use super::records_copy::RecordsCopy;
 use super::{
-    ClaimAsk, ClaimId, ClaimKeeperEvent, ClaimMessage, ClaimRelease, ClaimRoster, ClaimSend,
-    ClaimSettings, ClaimVerdict, ClaimVote, EpochConfirmation, KeeperGroup, KeyDigest, MemoryAsk,
-    MemoryPage, RememberedClaim,
+    ClaimEnvelope, ClaimId, ClaimKeeperEvent, ClaimMessage, ClaimRecord, ClaimRelease, ClaimRoster,
+    ClaimSettings, ClaimVerdict, ClaimVote, EpochConfirmation, KeeperGroup, KeyDigest, RecordsPage,
+    RecordsRequest, VoteRequest,
 };
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 /// Time between questions to a keeper that does not answer.
-const COPY_INTERVAL: Duration = Duration::from_secs(1);
+const COPY_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Claims in one part of a copy; about 150 KB.
 const PAGE_CLAIMS: usize = 2_000;
 
 /// What a keeper remembers of a key.
 #[derive(Debug, Clone, Copy)]
-struct Record {
+struct StoredClaim {
     claim: ClaimId,
-    forget_after_second: u32,
+    expires_after_second: u32,
 }
 
 /// Remembers, in memory only, which claim holds which key.
@@ -39,15 +39,15 @@
     settings: ClaimSettings,
     started_at: Timestamp,
     /// By position of the group in the roster; groups in which this process is a settled keeper.
-    memory: BTreeMap<usize, KeeperMemory>,
+    coverage: BTreeMap<usize, RecordCoverage>,
     roster: ClaimRoster,
     /// Looked up by key only; never iterated, so its order decides nothing.
-    records: HashMap<KeyDigest, Record>,
+    records: HashMap<KeyDigest, StoredClaim>,
     /// Claims on keys that other keepers had granted to different claims when they were copied:
     /// any of them may be the one that a majority granted.
-    rivals: BTreeMap<KeyDigest, Vec<Record>>,
+    conflicting_claims: BTreeMap<KeyDigest, Vec<StoredClaim>>,
     /// Copies of the other keepers' memory, by position of the group.
-    copies: BTreeMap<usize, MemoryCopy>,
+    copies: BTreeMap<usize, RecordsCopy>,
     copy_rounds: u64,
     expiry: ExpiryQueue,
 }
@@ -59,10 +59,10 @@
             name,
             settings,
             started_at,
-            memory: BTreeMap::new(),
+            coverage: BTreeMap::new(),
             roster: ClaimRoster::default(),
             records: HashMap::new(),
-            rivals: BTreeMap::new(),
+            conflicting_claims: BTreeMap::new(),
             copies: BTreeMap::new(),
             copy_rounds: 0,
             expiry: ExpiryQueue::default(),
@@ -70,36 +70,42 @@
     }
 
     /// Claims remembered now.
-    pub fn remembered(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
     /// Takes an event and appends the messages to send.
-    pub fn handle(&mut self, event: ClaimKeeperEvent, now: Timestamp, sends: &mut Vec<ClaimSend>) {
-        self.forget_expired(now);
+    pub fn handle(
+        &mut self,
+        event: ClaimKeeperEvent,
+        now: Timestamp,
+        sends: &mut Vec<ClaimEnvelope>,
+    ) {
+        self.remove_expired(now);
         match event {
             ClaimKeeperEvent::Received { from, message } => {
                 self.receive(from, message, now, sends);
             }
             ClaimKeeperEvent::RosterChanged(roster) => self.adopt(roster, now),
-            ClaimKeeperEvent::Tick => self.copy_memory(now, sends),
+            ClaimKeeperEvent::Tick => self.request_records(now, sends),
         }
     }
 
     fn adopt(&mut self, roster: ClaimRoster, now: Timestamp) {
-        let mut memory = BTreeMap::new();
+        let mut coverage = BTreeMap::new();
         for (index, group) in roster.groups.iter().enumerate() {
-            if group.has_settled(&self.name) {
-                let first_memory = self.first_memory(&roster, group, now);
-                let known = self.memory.get(&index).copied();
-                if known.is_none() && first_memory != KeeperMemory::Whole {
-                    let copy = MemoryCopy::new(group.epoch, now.after(self.asks_lapse_after()));
+            if group.is_voter(&self.name) {
+                let initial_coverage = self.initial_coverage(&roster, group, now);
+                let known = self.coverage.get(&index).copied();
+                if known.is_none() && initial_coverage != RecordCoverage::Complete {
+                    let copy =
+                        RecordsCopy::new(group.epoch, now.after(self.vote_request_lifetime()));
                     self.copies.insert(index, copy);
                 }
-                memory.insert(index, known.unwrap_or(first_memory));
+                coverage.insert(index, known.unwrap_or(initial_coverage));
             }
         }
-        self.memory = memory;
+        self.coverage = coverage;
         self.copies.retain(|index, copy| {
             let group = roster.groups.get(*index);
             group.is_some_and(|group| group.epoch == copy.epoch)
@@ -110,18 +116,20 @@
     /// How far back a process remembers a group that it sees itself a settled keeper of for the
     /// first time. Claims of earlier epochs, and of an earlier process of its name, lie before
     /// `now`; there are none when it was up before the first roster was written.
-    fn first_memory(
+    fn initial_coverage(
         &self,
         roster: &ClaimRoster,
         group: &KeeperGroup,
         now: Timestamp,
-    ) -> KeeperMemory {
-        let up_since = self.started_at.after(self.settings.clock_tolerance);
-        let up_at_founding = roster.founded_at.is_some_and(|founded| up_since < founded);
-        if up_at_founding && group.epoch == ClaimRoster::FIRST_EPOCH {
-            KeeperMemory::Whole
+    ) -> RecordCoverage {
+        let latest_start = self.started_at.after(self.settings.clock_tolerance);
+        let started_before_first_roster = roster
+            .founded_at
+            .is_some_and(|founded| latest_start < founded);
+        if started_before_first_roster && group.epoch == ClaimRoster::FIRST_EPOCH {
+            RecordCoverage::Complete
         } else {
-            KeeperMemory::Since(now)
+            RecordCoverage::Since(now)
         }
     }
 
@@ -130,7 +138,7 @@
         from: NodeName,
         message: ClaimMessage,
         now: Timestamp,
-        sends: &mut Vec<ClaimSend>,
+        sends: &mut Vec<ClaimEnvelope>,
     ) {
         match message {
             ClaimMessage::Ask(ask) if now < ask.valid_until => {
@@ -140,29 +148,29 @@
                     digest: ask.digest,
                     verdict,
                 };
-                sends.push(ClaimSend {
+                sends.push(ClaimEnvelope {
                     to: from,
                     message: vote.into(),
                 });
             }
             ClaimMessage::Release(release) => {
                 self.release(&release);
-                sends.push(ClaimSend {
+                sends.push(ClaimEnvelope {
                     to: from,
                     message: ClaimMessage::Released(release),
                 });
             }
-            ClaimMessage::AskMemory(ask) => self.show_memory(from, ask, sends),
-            ClaimMessage::Memory(page) => self.take_memory(from, page, sends),
+            ClaimMessage::AskMemory(ask) => self.send_records(from, ask, sends),
+            ClaimMessage::Memory(page) => self.receive_records(from, page, sends),
             ClaimMessage::ConfirmEpoch(asked) => self.confirm(from, asked, sends),
             _ => {}
         }
     }
 
-    fn confirm(&self, from: NodeName, asked: EpochConfirmation, sends: &mut Vec<ClaimSend>) {
+    fn confirm(&self, from: NodeName, asked: EpochConfirmation, sends: &mut Vec<ClaimEnvelope>) {
         let group = self.roster.groups.get(asked.group);
         if group.is_some_and(|group| group.epoch >= asked.epoch) {
-            sends.push(ClaimSend {
+            sends.push(ClaimEnvelope {
                 to: from,
                 message: ClaimMessage::EpochConfirmed(asked),
             });
@@ -170,32 +178,32 @@
     }
 
     /// Any ask that a keeper may still vote on was sent less than this long ago.
-    fn asks_lapse_after(&self) -> Duration {
+    fn vote_request_lifetime(&self) -> Duration {
         self.settings.vote_timeout + self.settings.clock_tolerance * 3
     }
 
     /// Asks the other keepers for what they remember: with that this keeper can vote again long
     /// before it has been up for as long as claims must be remembered.
-    fn copy_memory(&mut self, now: Timestamp, sends: &mut Vec<ClaimSend>) {
-        let reach = self.settings.plain_lifetime + self.settings.clock_tolerance * 4;
-        let to_expiry = self.settings.lifetime + self.settings.clock_tolerance * 2;
+    fn request_records(&mut self, now: Timestamp, sends: &mut Vec<ClaimEnvelope>) {
+        let copied_lifetime = self.settings.opaque_key_lifetime + self.settings.clock_tolerance * 4;
+        let max_expiry_delay = self.settings.lifetime + self.settings.clock_tolerance * 2;
         for (index, copy) in &mut self.copies {
             let group = &self.roster.groups[*index];
-            if now < copy.start_at || now < copy.ask_again_at {
+            if now < copy.start_at || now < copy.retry_at {
                 continue;
             }
-            copy.ask_again_at = now.after(COPY_INTERVAL);
+            copy.retry_at = now.after(COPY_RETRY_INTERVAL);
             if copy.round == 0 {
                 self.copy_rounds += 1;
                 copy.round = self.copy_rounds;
-                copy.reaches_to = now.before(reach);
-                let from_second = second_of(copy.reaches_to.after(to_expiry));
+                copy.copied_since = now.before(copied_lifetime);
+                let from_second = second_of(copy.copied_since.after(max_expiry_delay));
                 let others = group.keepers.iter().filter(|name| **name != self.name);
                 copy.cursors = others.map(|name| (name.clone(), from_second)).collect();
             }
             for keeper in copy.cursors.keys() {
-                if let Some(ask) = copy.ask_for(*index, keeper) {
-                    sends.push(ClaimSend {
+                if let Some(ask) = copy.request_for(*index, keeper) {
+                    sends.push(ClaimEnvelope {
                         to: keeper.clone(),
                         message: ClaimMessage::AskMemory(ask),
                     });
@@ -204,63 +212,71 @@
         }
     }
 
-    fn show_memory(&self, from: NodeName, ask: MemoryAsk, sends: &mut Vec<ClaimSend>) {
+    fn send_records(&self, from: NodeName, ask: RecordsRequest, sends: &mut Vec<ClaimEnvelope>) {
         let group = self.roster.groups.get(ask.group);
         if group.is_none_or(|group| group.epoch != ask.epoch) {
             return;
         }
-        let since = match self.memory.get(&ask.group) {
-            Some(KeeperMemory::Whole) => Timestamp::ZERO,
-            Some(KeeperMemory::Since(since)) => since.after(self.settings.clock_tolerance),
+        let since = match self.coverage.get(&ask.group) {
+            Some(RecordCoverage::Complete) => Timestamp::ZERO,
+            Some(RecordCoverage::Since(since)) => since.after(self.settings.clock_tolerance),
             None => return,
         };
         let (keys, next_second) = self.expiry.from(ask.from_second, PAGE_CLAIMS);
         let claims = keys
             .iter()
             .filter(|(_, digest)| self.roster.group_index(*digest) == Some(ask.group))
-            .flat_map(|(second, digest)| self.remembered_claims(*second, *digest))
+            .flat_map(|(second, digest)| self.records_expiring_at(*second, *digest))
             .collect();
-        let page = MemoryPage {
+        let page = RecordsPage {
             ask,
             since,
             claims,
             next_second,
         };
-        sends.push(ClaimSend {
+        sends.push(ClaimEnvelope {
             to: from,
             message: ClaimMessage::Memory(page),
         });
     }
 
     /// Claims on a key that may be forgotten after `second`.
-    fn remembered_claims(&self, second: u32, digest: KeyDigest) -> Vec<RememberedClaim> {
-        let rivals = self.rivals.get(&digest).map_or(&[][..], Vec::as_slice);
+    fn records_expiring_at(&self, second: u32, digest: KeyDigest) -> Vec<ClaimRecord> {
+        let conflicting_claims = self
+            .conflicting_claims
+            .get(&digest)
+            .map_or(&[][..], Vec::as_slice);
         self.records
             .get(&digest)
             .into_iter()
-            .chain(rivals)
-            .filter(|record| record.forget_after_second == second)
-            .map(|record| RememberedClaim {
+            .chain(conflicting_claims)
+            .filter(|record| record.expires_after_second == second)
+            .map(|record| ClaimRecord {
                 digest,
                 claim: record.claim,
-                forget_after_second: second,
+                expires_after_second: second,
             })
             .collect()
     }
 
-    fn take_memory(&mut self, from: NodeName, page: MemoryPage, sends: &mut Vec<ClaimSend>) {
+    fn receive_records(
+        &mut self,
+        from: NodeName,
+        page: RecordsPage,
+        sends: &mut Vec<ClaimEnvelope>,
+    ) {
         let index = page.ask.group;
         let Some(copy) = self.copies.get_mut(&index) else {
             return;
         };
-        if copy.ask_for(index, &from).as_ref() != Some(&page.ask) {
+        if copy.request_for(index, &from).as_ref() != Some(&page.ask) {
             return;
         }
         match page.next_second {
             Some(next_second) => {
                 copy.cursors.insert(from.clone(), next_second);
-                if let Some(ask) = copy.ask_for(index, &from) {
-                    sends.push(ClaimSend {
+                if let Some(ask) = copy.request_for(index, &from) {
+                    sends.push(ClaimEnvelope {
                         to: from,
                         message: ClaimMessage::AskMemory(ask),
                     });
@@ -268,43 +284,50 @@
             }
             None => {
                 copy.cursors.remove(&from);
-                copy.complete.insert(from, page.since);
+                copy.complete_since.insert(from, page.since);
             }
         }
         for claim in page.claims {
-            self.note_copied(&claim);
+            self.merge_copied(&claim);
         }
-        self.end_copy(index);
+        self.extend_coverage(index);
     }
 
-    fn note_copied(&mut self, claim: &RememberedClaim) {
-        let record = Record {
+    fn merge_copied(&mut self, claim: &ClaimRecord) {
+        let record = StoredClaim {
             claim: claim.claim,
-            forget_after_second: claim.forget_after_second,
+            expires_after_second: claim.expires_after_second,
         };
-        self.expiry.push(record.forget_after_second, claim.digest);
+        self.expiry.push(record.expires_after_second, claim.digest);
         let Some(known) = self.records.get_mut(&claim.digest) else {
             self.records.insert(claim.digest, record);
             return;
         };
-        known.forget_after_second = known.forget_after_second.max(record.forget_after_second);
-        let rivals = self.rivals.get(&claim.digest);
+        known.expires_after_second = known.expires_after_second.max(record.expires_after_second);
+        let conflicting_claims = self.conflicting_claims.get(&claim.digest);
         let is_known = known.claim == record.claim
-            || rivals.is_some_and(|rivals| rivals.iter().any(|one| one.claim == record.claim));
+            || conflicting_claims.is_some_and(|conflicting_claims| {
+                conflicting_claims
+                    .iter()
+                    .any(|one| one.claim == record.claim)
+            });
         if !is_known {
-            self.rivals.entry(claim.digest).or_default().push(record);
+            self.conflicting_claims
+                .entry(claim.digest)
+                .or_default()
+                .push(record);
         }
     }
 
     /// Votes on older keys again once enough keepers were copied.
-    fn end_copy(&mut self, index: usize) {
+    fn extend_coverage(&mut self, index: usize) {
         let Some(copy) = self.copies.get(&index) else {
             return;
         };
         let Some(known_since) = copy.known_since(&self.roster.groups[index]) else {
             return;
         };
-        if let Some(KeeperMemory::Since(since)) = self.memory.get_mut(&index) {
+        if let Some(RecordCoverage::Since(since)) = self.coverage.get_mut(&index) {
             *since = known_since.min(*since);
         }
         if copy.cursors.is_empty() {
@@ -312,7 +335,7 @@
         }
     }
 
-    fn vote(&mut self, ask: &ClaimAsk, now: Timestamp) -> ClaimVerdict {
+    fn vote(&mut self, ask: &VoteRequest, now: Timestamp) -> ClaimVerdict {
         let Some(index) = self.roster.group_index(ask.digest) else {
             return ClaimVerdict::OtherEpoch { epoch: None };
         };
@@ -321,28 +344,28 @@
             let epoch = Some(group.epoch);
             return ClaimVerdict::OtherEpoch { epoch };
         }
-        let Some(memory) = self.memory.get(&index).copied() else {
+        let Some(coverage) = self.coverage.get(&index).copied() else {
             return ClaimVerdict::Forgetful { until: now };
         };
         if let Some(record) = self.records.get(&ask.digest) {
-            let contested = self.rivals.contains_key(&ask.digest);
-            return if record.claim == ask.claim && !contested {
+            let has_conflict = self.conflicting_claims.contains_key(&ask.digest);
+            return if record.claim == ask.claim && !has_conflict {
                 ClaimVerdict::Granted
             } else {
                 ClaimVerdict::Held
             };
         }
-        if let Some(refusal) = self.refusal(ask, memory, now) {
+        if let Some(refusal) = self.refusal(ask, coverage, now) {
             return refusal;
         }
-        self.remember(ask, now);
+        self.store_claim(ask, now);
         ClaimVerdict::Granted
     }
 
     fn refusal(
         &self,
-        ask: &ClaimAsk,
-        memory: KeeperMemory,
+        ask: &VoteRequest,
+        coverage: RecordCoverage,
         now: Timestamp,
     ) -> Option<ClaimVerdict> {
         let tolerance = self.settings.clock_tolerance;
@@ -356,34 +379,34 @@
         {
             return Some(ClaimVerdict::Forgetful { until: now });
         }
-        if let KeeperMemory::Since(since) = memory {
+        if let RecordCoverage::Since(since) = coverage {
             let safe_from = since.after(tolerance);
             let until = match ask.issued_at {
                 Some(_) => safe_from,
-                None => safe_from.after(self.settings.plain_lifetime),
+                None => safe_from.after(self.settings.opaque_key_lifetime),
             };
-            let knows = match ask.issued_at {
+            let can_vote = match ask.issued_at {
                 Some(issued_at) => issued_at > safe_from,
                 None => now >= until,
             };
-            if !knows {
+            if !can_vote {
                 return Some(ClaimVerdict::Forgetful { until });
             }
         }
         (self.records.len() >= self.settings.keeper_capacity).then_some(ClaimVerdict::Full)
     }
 
-    fn remember(&mut self, ask: &ClaimAsk, now: Timestamp) {
-        let claimed_from = ask.issued_at.map_or(now, |issued_at| issued_at.max(now));
-        let kept_until = claimed_from
+    fn store_claim(&mut self, ask: &VoteRequest, now: Timestamp) {
+        let lifetime_start = ask.issued_at.map_or(now, |issued_at| issued_at.max(now));
+        let stored_until = lifetime_start
             .after(self.settings.lifetime)
             .after(self.settings.clock_tolerance)
             .after(self.settings.clock_tolerance);
-        let record = Record {
+        let record = StoredClaim {
             claim: ask.claim,
-            forget_after_second: second_of(kept_until),
+            expires_after_second: second_of(stored_until),
         };
-        self.expiry.push(record.forget_after_second, ask.digest);
+        self.expiry.push(record.expires_after_second, ask.digest);
         self.records.insert(ask.digest, record);
     }
 
@@ -395,35 +418,35 @@
         if held {
             self.records.remove(&release.digest);
         }
-        if let Some(rivals) = self.rivals.get_mut(&release.digest) {
-            rivals.retain(|rival| rival.claim != release.claim);
-            if held && let Some(rival) = rivals.pop() {
-                self.records.insert(release.digest, rival);
+        if let Some(conflicting_claims) = self.conflicting_claims.get_mut(&release.digest) {
+            conflicting_claims.retain(|conflicting| conflicting.claim != release.claim);
+            if held && let Some(conflicting) = conflicting_claims.pop() {
+                self.records.insert(release.digest, conflicting);
             }
-            if rivals.is_empty() {
-                self.rivals.remove(&release.digest);
+            if conflicting_claims.is_empty() {
+                self.conflicting_claims.remove(&release.digest);
             }
         }
     }
 
-    fn forget_expired(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let second = second_of(now);
         while let Some(digests) = self.expiry.pop_before(second) {
             for digest in digests {
-                self.forget_if_expired(digest, second);
+                self.remove_if_expired(digest, second);
             }
         }
     }
 
     /// A key that was released and claimed again stands in the queue twice; its record decides.
-    fn forget_if_expired(&mut self, digest: KeyDigest, second: u32) {
+    fn remove_if_expired(&mut self, digest: KeyDigest, second: u32) {
         let expired = self
             .records
             .get(&digest)
-            .is_some_and(|record| record.forget_after_second < second);
+            .is_some_and(|record| record.expires_after_second < second);
         if expired {
             self.records.remove(&digest);
-            self.rivals.remove(&digest);
+            self.conflicting_claims.remove(&digest);
         }
     }
 }
--- a/crates/core/src/claim/remembered_claim.rs
+++ b/crates/core/src/claim/claim_record.rs
@@ -6,7 +6,7 @@
 
 /// A claim that a keeper remembers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RememberedClaim {
+pub struct ClaimRecord {
     /// The key.
     #[serde(rename = "k")]
     pub digest: KeyDigest,
@@ -15,5 +15,5 @@
     pub claim: ClaimId,
     /// The second after which it may be forgotten.
     #[serde(rename = "t")]
-    pub forget_after_second: u32,
+    pub expires_after_second: u32,
 }
--- a/crates/core/src/claim/claim_vote.rs
+++ b/crates/core/src/claim/claim_vote.rs
@@ -4,7 +4,7 @@
 
 use super::{ClaimId, ClaimVerdict, KeyDigest};
 
-/// A keeper's answer to a [`super::ClaimAsk`].
+/// A keeper's answer to a [`super::VoteRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimVote {
     /// The claim.
--- a/crates/core/src/claim/keeper_group.rs
+++ b/crates/core/src/claim/keeper_group.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether `node` is a keeper whose votes count: it did not join in an unsettled change.
-    pub fn has_settled(&self, node: &NodeName) -> bool {
+    pub fn is_voter(&self, node: &NodeName) -> bool {
         let settled = self.previous.is_empty() || self.previous.contains(node);
         settled && self.keepers.contains(node)
     }
--- a/crates/core/src/claim/keeper_planner.rs
+++ b/crates/core/src/claim/keeper_planner.rs
@@ -5,9 +5,9 @@
 use crate::identity::{NodeName, ZoneName};
 use crate::timestamp::Timestamp;
 
-use super::keeper_choice::KeeperChoice;
+use super::keeper_selector::KeeperSelector;
 use super::{
-    ClaimMessage, ClaimRoster, ClaimSend, EpochConfirmation, KeeperGroup, KeeperPlannerAction,
+    ClaimEnvelope, ClaimMessage, ClaimRoster, EpochConfirmation, KeeperGroup, KeeperPlannerAction,
     KeeperPlannerEvent, KeeperPlannerSettings,
 };
 
@@ -27,9 +27,9 @@
     /// When nodes were first seen; kept while there is no roster.
     first_seen: BTreeMap<NodeName, Timestamp>,
     absent_since: BTreeMap<NodeName, Timestamp>,
-    gone_since: BTreeMap<NodeName, Timestamp>,
+    machine_gone_since: BTreeMap<NodeName, Timestamp>,
     confirmed: BTreeMap<EpochConfirmation, BTreeSet<NodeName>>,
-    confirm_at: Timestamp,
+    next_confirmation_request_at: Timestamp,
     proposed_at: Option<Timestamp>,
 }
 
@@ -41,9 +41,9 @@
             roster: ClaimRoster::default(),
             first_seen: BTreeMap::new(),
             absent_since: BTreeMap::new(),
-            gone_since: BTreeMap::new(),
+            machine_gone_since: BTreeMap::new(),
             confirmed: BTreeMap::new(),
-            confirm_at: Timestamp::ZERO,
+            next_confirmation_request_at: Timestamp::ZERO,
             proposed_at: None,
         }
     }
@@ -58,8 +58,8 @@
         match event {
             KeeperPlannerEvent::RosterChanged(roster) => self.adopt(roster),
             KeeperPlannerEvent::MembersSeen { alive, gone } => {
-                self.note_presence(&alive, now);
-                self.note_absence(&alive, &gone, now);
+                self.record_presence(&alive, now);
+                self.record_absence(&alive, &gone, now);
                 self.plan(&alive, now, actions);
             }
             KeeperPlannerEvent::Confirmed { from, confirmation } => {
@@ -81,7 +81,7 @@
         });
     }
 
-    fn note_presence(&mut self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) {
+    fn record_presence(&mut self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) {
         self.first_seen.retain(|name, _| alive.contains_key(name));
         if !self.roster.groups.is_empty() {
             self.first_seen.clear();
@@ -92,7 +92,7 @@
         }
     }
 
-    fn note_absence(
+    fn record_absence(
         &mut self,
         alive: &BTreeMap<NodeName, ZoneName>,
         gone: &BTreeSet<NodeName>,
@@ -106,14 +106,14 @@
             .collect();
         self.absent_since
             .retain(|name, _| keepers.contains(name) && !alive.contains_key(name));
-        self.gone_since
+        self.machine_gone_since
             .retain(|name, _| keepers.contains(name) && gone.contains(name));
         for keeper in keepers {
             if !alive.contains_key(keeper) {
                 self.absent_since.entry(keeper.clone()).or_insert(now);
             }
             if gone.contains(keeper) && !alive.contains_key(keeper) {
-                self.gone_since.entry(keeper.clone()).or_insert(now);
+                self.machine_gone_since.entry(keeper.clone()).or_insert(now);
             }
         }
     }
@@ -124,7 +124,7 @@
         now: Timestamp,
         actions: &mut Vec<KeeperPlannerAction>,
     ) {
-        self.ask_for_confirmations(now, actions);
+        self.request_confirmations(now, actions);
         let timeout = self.settings.proposal_timeout;
         if self
             .proposed_at
@@ -133,9 +133,9 @@
             return;
         }
         let next = if self.roster.groups.is_empty() {
-            self.founded(alive, now)
+            self.initial_roster(alive, now)
         } else {
-            self.changed(alive, now)
+            self.updated_roster(alive, now)
         };
         if let Some(roster) = next {
             self.proposed_at = Some(now);
@@ -143,25 +143,29 @@
         }
     }
 
-    fn founded(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
+    fn initial_roster(
+        &self,
+        alive: &BTreeMap<NodeName, ZoneName>,
+        now: Timestamp,
+    ) -> Option<ClaimRoster> {
         let first = self.first_seen.values().min()?;
         let last = self.first_seen.values().max()?;
-        let quiet = now >= last.after(self.settings.founding_delay);
-        if !quiet && now < first.after(self.settings.founding_wait) {
+        let no_recent_joins = now >= last.after(self.settings.bootstrap_quiet_period);
+        if !no_recent_joins && now < first.after(self.settings.bootstrap_max_wait) {
             return None;
         }
         let alive: BTreeMap<NodeName, ZoneName> = alive
             .iter()
-            .filter(|(name, _)| self.was_up_before(name, now))
+            .filter(|(name, _)| self.seen_long_enough(name, now))
             .map(|(name, zone)| (name.clone(), zone.clone()))
             .collect();
         let alive = &alive;
         let count = (alive.len() / self.settings.group_size).clamp(1, self.settings.max_groups);
-        let mut choice = KeeperChoice::new(alive, &[]);
+        let mut selector = KeeperSelector::new(alive, &[]);
         let groups = (0..count)
             .map(|index| {
                 let mut keepers = Vec::new();
-                choice.fill(index, &mut keepers, self.settings.group_size);
+                selector.fill(index, &mut keepers, self.settings.group_size);
                 KeeperGroup {
                     epoch: ClaimRoster::FIRST_EPOCH,
                     keepers,
@@ -176,20 +180,24 @@
         })
     }
 
-    fn was_up_before(&self, name: &NodeName, now: Timestamp) -> bool {
+    fn seen_long_enough(&self, name: &NodeName, now: Timestamp) -> bool {
         self.first_seen
             .get(name)
-            .is_some_and(|seen| now >= seen.after(self.settings.founding_delay))
+            .is_some_and(|seen| now >= seen.after(self.settings.bootstrap_quiet_period))
     }
 
-    fn changed(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
-        let mut choice = KeeperChoice::new(alive, &self.roster.groups);
+    fn updated_roster(
+        &self,
+        alive: &BTreeMap<NodeName, ZoneName>,
+        now: Timestamp,
+    ) -> Option<ClaimRoster> {
+        let mut selector = KeeperSelector::new(alive, &self.roster.groups);
         let mut next = self.roster.clone();
         for (index, group) in next.groups.iter_mut().enumerate() {
-            if self.is_lost(group, now) {
-                self.found_anew(index, group, &mut choice);
+            if self.has_lost_majority(group, now) {
+                self.recreate_group(index, group, &mut selector);
             } else if group.previous.is_empty() {
-                self.replace_absent(index, group, &mut choice, now);
+                self.replace_absent(index, group, &mut selector, now);
             } else if self.is_confirmed(index, group) {
                 group.previous.clear();
             }
@@ -199,8 +207,8 @@
 
     /// Whether no majority that could still grant is left: of the keepers, or of those before
     /// while a change is not settled.
-    fn is_lost(&self, group: &KeeperGroup, now: Timestamp) -> bool {
-        let lost_after = self.settings.lost_after;
+    fn has_lost_majority(&self, group: &KeeperGroup, now: Timestamp) -> bool {
+        let recreate_after = self.settings.recreate_after;
         let voters = if group.previous.is_empty() {
             &group.keepers
         } else {
@@ -209,18 +217,23 @@
         let gone = voters
             .iter()
             .filter(|keeper| {
-                self.gone_since
+                self.machine_gone_since
                     .get(*keeper)
-                    .is_some_and(|since| now >= since.after(lost_after))
+                    .is_some_and(|since| now >= since.after(recreate_after))
             })
             .count();
         gone > voters.len() / 2
     }
 
-    fn found_anew(&self, index: usize, group: &mut KeeperGroup, choice: &mut KeeperChoice<'_>) {
+    fn recreate_group(
+        &self,
+        index: usize,
+        group: &mut KeeperGroup,
+        selector: &mut KeeperSelector<'_>,
+    ) {
         let size = group.keepers.len().max(self.settings.group_size);
-        let mut keepers: Vec<NodeName> = self.present(&group.keepers);
-        choice.fill(index, &mut keepers, size);
+        let mut keepers: Vec<NodeName> = self.without_absent(&group.keepers);
+        selector.fill(index, &mut keepers, size);
         if keepers.is_empty() {
             return;
         }
@@ -233,7 +246,7 @@
         &self,
         index: usize,
         group: &mut KeeperGroup,
-        choice: &mut KeeperChoice<'_>,
+        selector: &mut KeeperSelector<'_>,
         now: Timestamp,
     ) {
         let replace_after = self.settings.replace_after;
@@ -249,7 +262,7 @@
             .cloned()
             .collect();
         let majority_stays = keepers.len() >= group.majority();
-        choice.fill(index, &mut keepers, self.settings.group_size.max(old_size));
+        selector.fill(index, &mut keepers, self.settings.group_size.max(old_size));
         if !majority_stays || keepers.len() < old_size || keepers == group.keepers {
             return;
         }
@@ -257,7 +270,7 @@
         group.previous = std::mem::replace(&mut group.keepers, keepers);
     }
 
-    fn present(&self, keepers: &[NodeName]) -> Vec<NodeName> {
+    fn without_absent(&self, keepers: &[NodeName]) -> Vec<NodeName> {
         keepers
             .iter()
             .filter(|keeper| !self.absent_since.contains_key(*keeper))
@@ -275,18 +288,18 @@
         confirmed_by.len() > group.previous.len() / 2
     }
 
-    fn ask_for_confirmations(&mut self, now: Timestamp, actions: &mut Vec<KeeperPlannerAction>) {
-        if now < self.confirm_at {
+    fn request_confirmations(&mut self, now: Timestamp, actions: &mut Vec<KeeperPlannerAction>) {
+        if now < self.next_confirmation_request_at {
             return;
         }
-        self.confirm_at = now.after(self.settings.confirm_interval);
+        self.next_confirmation_request_at = now.after(self.settings.confirm_interval);
         for (index, group) in self.roster.groups.iter().enumerate() {
             for keeper in &group.previous {
                 let confirmation = EpochConfirmation {
                     group: index,
                     epoch: group.epoch,
                 };
-                let send = ClaimSend {
+                let send = ClaimEnvelope {
                     to: keeper.clone(),
                     message: ClaimMessage::ConfirmEpoch(confirmation),
                 };
--- a/crates/core/src/claim/keeper_planner_action.rs
+++ b/crates/core/src/claim/keeper_planner_action.rs
@@ -2,13 +2,13 @@
 
 use derive_more::From;
 
-use super::{ClaimRoster, ClaimSend};
+use super::{ClaimEnvelope, ClaimRoster};
 
 /// What a [`super::KeeperPlanner`] wants done.
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 pub enum KeeperPlannerAction {
     /// Send a message.
-    Send(ClaimSend),
+    Send(ClaimEnvelope),
     /// Write this roster into the configuration, if its `version` is still the one in force.
     Propose(ClaimRoster),
 }
--- a/crates/core/src/claim/keeper_choice.rs
+++ b/crates/core/src/claim/keeper_selector.rs
@@ -9,12 +9,12 @@
 use super::KeeperGroup;
 
 /// Chooses keepers so that groups spread over zones and nodes serve equally many groups.
-pub(super) struct KeeperChoice<'a> {
+pub(super) struct KeeperSelector<'a> {
     alive: &'a BTreeMap<NodeName, ZoneName>,
     groups_served: BTreeMap<NodeName, usize>,
 }
 
-impl<'a> KeeperChoice<'a> {
+impl<'a> KeeperSelector<'a> {
     pub fn new(alive: &'a BTreeMap<NodeName, ZoneName>, groups: &[KeeperGroup]) -> Self {
         let mut groups_served = BTreeMap::new();
         for keeper in groups.iter().flat_map(|group| &group.keepers) {
@@ -42,13 +42,13 @@
             .iter()
             .filter(|(name, _)| !keepers.contains(name))
             .min_by_key(|(name, zone)| {
-                let in_zone = keepers
+                let keepers_in_zone = keepers
                     .iter()
                     .filter(|keeper| self.alive.get(*keeper) == Some(zone))
                     .count();
                 let served = self.groups_served.get(*name).copied().unwrap_or_default();
-                let tie = xxh3_64_with_seed(name.as_str().as_bytes(), group_index as u64);
-                (in_zone, served, tie)
+                let tie_breaker = xxh3_64_with_seed(name.as_str().as_bytes(), group_index as u64);
+                (keepers_in_zone, served, tie_breaker)
             })
             .map(|(name, _)| name.clone())
     }
--- a/crates/core/src/claim/pending_claim.rs
+++ b/crates/core/src/claim/pending_claim.rs
@@ -14,7 +14,7 @@
     pub digest: KeyDigest,
     pub group: KeeperGroup,
     pub asked_at: Timestamp,
-    pub decide_by: Timestamp,
+    pub vote_deadline: Timestamp,
     pub verdicts: BTreeMap<NodeName, ClaimVerdict>,
 }
 
@@ -32,18 +32,18 @@
     }
 
     /// Whether no votes still to come can make a majority.
-    pub fn is_lost(&self) -> bool {
+    pub fn cannot_succeed(&self) -> bool {
         let outstanding = self.group.keepers.len() - self.verdicts.len();
         self.count(ClaimVerdict::Granted) + outstanding < self.group.majority()
     }
 
-    pub fn any(&self, verdict: ClaimVerdict) -> bool {
+    pub fn has_verdict(&self, verdict: ClaimVerdict) -> bool {
         self.count(verdict) > 0
     }
 
     /// When enough forgetful keepers will know again for a majority.
-    pub fn known_from(&self) -> Option<Timestamp> {
-        let mut known_from: Vec<Timestamp> = self
+    pub fn majority_knows_from(&self) -> Option<Timestamp> {
+        let mut majority_knows_from: Vec<Timestamp> = self
             .verdicts
             .values()
             .filter_map(|verdict| match verdict {
@@ -52,8 +52,8 @@
                 _ => None,
             })
             .collect();
-        known_from.sort_unstable();
-        known_from.get(self.group.majority() - 1).copied()
+        majority_knows_from.sort_unstable();
+        majority_knows_from.get(self.group.majority() - 1).copied()
     }
 
     fn count(&self, verdict: ClaimVerdict) -> usize {
--- a/crates/core/src/claim/pending_release.rs
+++ b/crates/core/src/claim/pending_release.rs
@@ -13,5 +13,5 @@
     pub release: ClaimRelease,
     pub unacknowledged: BTreeSet<NodeName>,
     pub sends_left: u32,
-    pub send_at: Timestamp,
+    pub next_send_at: Timestamp,
 }
--- a/crates/core/src/claim/memory_ask.rs
+++ b/crates/core/src/claim/records_request.rs
@@ -4,7 +4,7 @@
 
 /// Asks a keeper for a part of what it remembers of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemoryAsk {
+pub struct RecordsRequest {
     /// Position of the group in the roster.
     pub group: usize,
     /// Epoch of the group.
--- a/crates/core/src/claim/claim_ask.rs
+++ b/crates/core/src/claim/vote_request.rs
@@ -8,7 +8,7 @@
 
 /// Asks a keeper for its vote on a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct VoteRequest {
     /// The claim.
     pub claim: ClaimId,
     /// The key.
--- a/crates/core/src/control/claims.rs
+++ b/crates/core/src/control/claims.rs
@@ -7,8 +7,8 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::claim::{
-    ClaimClient, ClaimClientAction, ClaimClientEvent, ClaimId, ClaimKeeper, ClaimKeeperEvent,
-    ClaimMessage, ClaimOutcome, ClaimRoster, ClaimSend, ClaimSettings, KeeperPlanner,
+    ClaimClient, ClaimClientAction, ClaimClientEvent, ClaimEnvelope, ClaimId, ClaimKeeper,
+    ClaimKeeperEvent, ClaimMessage, ClaimOutcome, ClaimRoster, ClaimSettings, KeeperPlanner,
     KeeperPlannerAction, KeeperPlannerEvent, KeeperPlannerSettings, KeyDigest,
 };
 use crate::config::{Change, Expectation, Mutation, Resource};
@@ -79,8 +79,8 @@
     }
 
     /// Claims that this node remembers for others and for itself.
-    pub fn remembered(&self) -> usize {
-        self.keeper.remembered()
+    pub fn record_count(&self) -> usize {
+        self.keeper.record_count()
     }
 
     /// Takes the roster in force.
@@ -225,7 +225,7 @@
         &mut self,
         event: ClaimClientEvent,
         now: Timestamp,
-        sends: &mut Vec<ClaimSend>,
+        sends: &mut Vec<ClaimEnvelope>,
         outbox: &mut Outbox,
     ) {
         let mut actions = Vec::new();
@@ -257,7 +257,7 @@
         from: NodeName,
         message: ClaimMessage,
         now: Timestamp,
-        sends: &mut Vec<ClaimSend>,
+        sends: &mut Vec<ClaimEnvelope>,
         outbox: &mut Outbox,
     ) {
         match message {
@@ -283,7 +283,7 @@
     /// Sends messages; those to this node itself are taken at once, as it may be its own keeper.
     fn deliver(
         &mut self,
-        sends: Vec<ClaimSend>,
+        sends: Vec<ClaimEnvelope>,
         cluster: &Cluster,
         now: Timestamp,
         outbox: &mut Outbox,
--- a/crates/core/src/dispatch/attempt_record.rs
+++ b/crates/core/src/dispatch/attempt_record.rs
@@ -32,23 +32,23 @@
 
 /// The part of a shared prefix of which this process does not know whether an engine holds it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UnknownShared {
+pub(super) struct UncertainRange {
     pub(super) priority: Priority,
     /// Tokens that are known or taken to be held.
-    pub(super) base: f64,
+    pub(super) start: f64,
     /// Tokens of the whole shared prefix.
     pub(super) end: f64,
 }
 
-impl UnknownShared {
+impl UncertainRange {
     /// Tokens of the unknown part.
     pub(super) fn tokens(&self) -> f64 {
-        self.end - self.base
+        self.end - self.start
     }
 
     /// Share of the unknown part that was found when `cached` tokens were.
-    pub(super) fn found(&self, cached: u32) -> f64 {
-        (f64::from(cached) - self.base) / self.tokens()
+    pub(super) fn hit_share(&self, cached: u32) -> f64 {
+        (f64::from(cached) - self.start) / self.tokens()
     }
 }
 
@@ -60,9 +60,9 @@
     /// How long ago, and in which life of the cache.
     pub(super) known_age: Option<(Duration, CacheEpoch)>,
     /// The part of the shared prefix of which nothing was known, in the first engine in order.
-    pub(super) unknown_shared: Option<UnknownShared>,
+    pub(super) uncertain_range: Option<UncertainRange>,
     /// Prompt tokens expected to be computed.
-    pub(super) missed: u32,
+    pub(super) uncached_tokens: u32,
     /// Prompt tokens to be computed before its own.
     pub(super) tokens_ahead: f64,
     /// Prefix and tokens it imports.
--- a/crates/core/src/dispatch/choice.rs
+++ b/crates/core/src/dispatch/choice.rs
@@ -24,7 +24,7 @@
 
 /// Why no engine could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Blocked {
+pub(super) enum ChoiceError {
     /// Engines serve, but none has room.
     NoRoom {
         /// Least estimated time to the first token, had there been room.
@@ -33,10 +33,10 @@
     /// Engines exist, but none serves; the first may be asked again at `until`.
     Unavailable { until: Timestamp },
     /// No engine is left that could serve it.
-    None,
+    NoEngine,
 }
 
-impl Blocked {
+impl ChoiceError {
     /// The more hopeful of two.
     pub(super) fn or(self, other: Self) -> Self {
         match (self, other) {
@@ -47,8 +47,8 @@
                     until: until.min(later),
                 }
             }
-            (Self::Unavailable { .. }, Self::None) => self,
-            (Self::None, _) => other,
+            (Self::Unavailable { .. }, Self::NoEngine) => self,
+            (Self::NoEngine, _) => other,
         }
     }
 }
--- a/crates/core/src/dispatch/dispatch_mechanisms.rs
+++ b/crates/core/src/dispatch/dispatch_mechanisms.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DispatchMechanisms {
     /// Remembers which engines were given which prefixes.
-    pub cache_knowledge: bool,
+    pub cache_directory: bool,
     /// Spreads a prefix over as many engines as its load needs, and keeps a thin one together.
     pub prefix_widths: bool,
     /// Expects the first engine in order to hold what other processes gave it.
@@ -22,7 +22,7 @@
 impl Default for DispatchMechanisms {
     fn default() -> Self {
         Self {
-            cache_knowledge: true,
+            cache_directory: true,
             prefix_widths: true,
             cache_prior: true,
             recompute_price: true,
--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -28,10 +28,10 @@
 
 use super::attempt_record::AttemptRecord;
 use super::engine_table::EngineTable;
-use super::kept_prefixes::KeptPrefixes;
+use super::exported_prefixes::ExportedPrefixes;
 use super::pool_state::PoolState;
 use super::request_record::RequestRecord;
-use super::tenant_gate::TenantGate;
+use super::tenant_limiter::TenantLimiter;
 use super::{DispatchAction, DispatchEvent, DispatchParameters, RoutingSnapshot};
 
 /// Decides for every request of one router process which back end serves it, and when.
@@ -51,15 +51,15 @@
     engines: EngineTable,
     pools: BTreeMap<PoolName, PoolState>,
     /// Queued requests by the time at which they are given up.
-    give_up_times: BTreeSet<(Timestamp, RequestId)>,
-    heat: PrefixHeat,
-    knowledge: CacheKnowledge,
-    kept: KeptPrefixes,
-    distances: SiteDistance,
+    queue_expiries: BTreeSet<(Timestamp, RequestId)>,
+    prefix_rates: PrefixHeat,
+    cache_directory: CacheKnowledge,
+    exported_prefixes: ExportedPrefixes,
+    data_centre_latencies: SiteDistance,
     retry_budget: RetryBudget,
     first_request_at: Option<Timestamp>,
     /// `None` while limits of tenants are not enforced.
-    tenant_gate: Option<TenantGate>,
+    tenant_limiter: Option<TenantLimiter>,
     stage_meter: StageMeter,
 }
 
@@ -77,9 +77,9 @@
         seed: u64,
         parameters: DispatchParameters,
     ) -> Self {
-        let remembered = parameters.remembered_prefixes;
+        let max_prefixes = parameters.remembered_prefixes;
         Self {
-            distances: SiteDistance::new(data_centre, parameters.data_centre_distance),
+            data_centre_latencies: SiteDistance::new(data_centre, parameters.data_centre_latency),
             zone,
             seed,
             attempts_started: 0,
@@ -88,13 +88,13 @@
             attempts: BTreeMap::new(),
             engines: EngineTable::default(),
             pools: BTreeMap::new(),
-            give_up_times: BTreeSet::new(),
-            heat: PrefixHeat::new(remembered, parameters.heat_time_constant),
-            knowledge: CacheKnowledge::new(remembered),
-            kept: KeptPrefixes::new(remembered, parameters.kv_store_retention),
+            queue_expiries: BTreeSet::new(),
+            prefix_rates: PrefixHeat::new(max_prefixes, parameters.request_rate_time_constant),
+            cache_directory: CacheKnowledge::new(max_prefixes),
+            exported_prefixes: ExportedPrefixes::new(max_prefixes, parameters.kv_store_retention),
             retry_budget: RetryBudget::new(Timestamp::ZERO),
             first_request_at: None,
-            tenant_gate: None,
+            tenant_limiter: None,
             stage_meter: StageMeter::default(),
             parameters,
         }
@@ -108,9 +108,9 @@
         started_at: Timestamp,
         settings: LimitSettings,
     ) {
-        let mut gate = TenantGate::new(node, started_at, settings);
-        gate.adopt(Arc::clone(&self.snapshot.catalog));
-        self.tenant_gate = Some(gate);
+        let mut limiter = TenantLimiter::new(node, started_at, settings);
+        limiter.adopt(Arc::clone(&self.snapshot.catalog));
+        self.tenant_limiter = Some(limiter);
     }
 
     /// Takes an event and appends what must be done to `actions`.
@@ -124,8 +124,8 @@
         self.measure_event(&event, now);
         self.handle_event(event, now, actions);
         self.measure_actions(&actions[before..]);
-        if let Some(gate) = &mut self.tenant_gate {
-            gate.note_finished(&actions[before..]);
+        if let Some(limiter) = &mut self.tenant_limiter {
+            limiter.record_finished(&actions[before..]);
         }
     }
 
@@ -176,44 +176,44 @@
             DispatchEvent::AnswerStarted {
                 attempt,
                 observation,
-            } => self.note_answer(attempt, &observation, now),
-            DispatchEvent::FirstToken { attempt } => self.note_first_token(attempt, now),
+            } => self.record_answer(attempt, &observation, now),
+            DispatchEvent::FirstToken { attempt } => self.record_first_token(attempt, now),
             DispatchEvent::AttemptEnded {
                 attempt,
                 outcome,
                 observation,
             } => self.end_attempt(attempt, outcome, observation, now, actions),
-            DispatchEvent::CallerLeft { request } => self.cancel(request, now, actions),
+            DispatchEvent::CallerDisconnected { request } => self.cancel(request, now, actions),
             DispatchEvent::LoadReported {
                 back_end,
                 observation,
-            } => self.note_report(&back_end, &observation, now),
+            } => self.record_load_report(&back_end, &observation, now),
             DispatchEvent::SnapshotPublished(snapshot) => {
-                self.publish(snapshot, now);
+                self.apply_snapshot(snapshot, now);
                 self.serve_all_queues(now, actions);
             }
             DispatchEvent::LimitGranted { from, grant } => {
                 let admitted = self
-                    .tenant_gate
+                    .tenant_limiter
                     .as_mut()
-                    .map(|gate| gate.receive(&from, &grant, now, actions));
+                    .map(|limiter| limiter.receive(&from, &grant, now, actions));
                 self.submit_all(admitted.unwrap_or_default(), now, actions);
             }
             DispatchEvent::Tick => {
                 let admitted = self
-                    .tenant_gate
+                    .tenant_limiter
                     .as_mut()
-                    .map(|gate| gate.tick(now, actions));
+                    .map(|limiter| limiter.tick(now, actions));
                 self.submit_all(admitted.unwrap_or_default(), now, actions);
-                self.give_up_overdue(now, actions);
+                self.refuse_expired(now, actions);
                 self.serve_all_queues(now, actions);
             }
         }
     }
 
-    fn publish(&mut self, snapshot: Arc<RoutingSnapshot>, now: Timestamp) {
-        if let Some(gate) = &mut self.tenant_gate {
-            gate.adopt(Arc::clone(&snapshot.catalog));
+    fn apply_snapshot(&mut self, snapshot: Arc<RoutingSnapshot>, now: Timestamp) {
+        if let Some(limiter) = &mut self.tenant_limiter {
+            limiter.adopt(Arc::clone(&snapshot.catalog));
         }
         let catalog = &snapshot.catalog;
         self.engines.retain(catalog);
@@ -238,8 +238,8 @@
             let takes_work = back_end.state == BackEndState::Active
                 && !snapshot.leaving.contains(&back_end.name);
             if takes_work {
-                let of_pool = members.entry(&back_end.pool).or_default();
-                of_pool.push(PoolMember::new(key, back_end));
+                let pool_members = members.entry(&back_end.pool).or_default();
+                pool_members.push(PoolMember::new(key, back_end));
             }
         }
         for (name, pool) in &mut self.pools {
--- a/crates/core/src/dispatch/dispatcher/answers.rs
+++ b/crates/core/src/dispatch/dispatcher/answers.rs
@@ -8,7 +8,7 @@
 use super::Dispatcher;
 
 impl Dispatcher {
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &mut self,
         attempt: AttemptId,
         observation: &EngineObservation,
@@ -20,7 +20,7 @@
         record.incarnation = Some(observation.incarnation);
         let key = record.engine;
         let request = record.request.clone();
-        self.distances
+        self.data_centre_latencies
             .observe(&record.data_centre, now.since(record.started_at));
         self.observe_answer(key, &request, observation, now);
         let Some(engine) = self.engines.get_mut(key) else {
@@ -29,7 +29,7 @@
         engine.health.answered();
         // The cache that is being filled is that of the process that answered.
         if let Some(record) = self.requests.get(&request) {
-            self.knowledge
+            self.cache_directory
                 .note(&record.points, key, engine.epoch(), now);
         }
     }
@@ -45,11 +45,11 @@
             return;
         };
         engine.observe_answer(observation, now);
-        let tolerated = self.parameters.waiting_tolerated;
+        let threshold = self.parameters.waiting_threshold;
         let in_flight = engine.in_flight;
         engine
             .window
-            .observe(observation.waiting, tolerated, in_flight, now);
+            .observe(observation.waiting, threshold, in_flight, now);
         let pool = self
             .requests
             .get(request)
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn note_first_token(&mut self, attempt: AttemptId, now: Timestamp) {
+    pub(super) fn record_first_token(&mut self, attempt: AttemptId, now: Timestamp) {
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
         };
@@ -68,11 +68,11 @@
         }
         record.first_token_after = Some(now.since(record.started_at));
         if let Some(engine) = self.engines.get_mut(record.engine) {
-            engine.remove_pending(record.priority, record.expectation.missed);
+            engine.remove_pending(record.priority, record.expectation.uncached_tokens);
         }
     }
 
-    pub(super) fn note_report(
+    pub(super) fn record_load_report(
         &mut self,
         back_end: &BackEndName,
         observation: &EngineObservation,
--- a/crates/core/src/dispatch/dispatcher/attempt_ends.rs
+++ b/crates/core/src/dispatch/dispatcher/attempt_ends.rs
@@ -10,10 +10,10 @@
 use super::Dispatcher;
 
 /// Fewest prompt tokens that an attempt must have computed to tell the prefill speed.
-const SPEED_SAMPLE_TOKENS: u32 = 1_000;
+const MIN_SPEED_SAMPLE_TOKENS: u32 = 1_000;
 
 /// Share of the expected tokens that must have been cached for the expectation to hold.
-const FOUND_SHARE: f64 = 0.9;
+const MIN_HIT_SHARE: f64 = 0.9;
 
 impl Dispatcher {
     pub(super) fn end_attempt(
@@ -35,15 +35,15 @@
                 ended.incarnation = Some(observation.incarnation);
             }
         }
-        self.note_health(&ended, outcome, now);
-        self.learn(&ended, outcome, observation, now);
+        self.record_health(&ended, outcome, now);
+        self.update_estimates(&ended, outcome, observation, now);
         let request = ended.request.clone();
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        record.running = None;
+        record.running_attempt = None;
         let pool = record.profile.pool.clone();
-        self.follow_up(request, attempt, ended, outcome, now, actions);
+        self.finish_or_retry(request, attempt, ended, outcome, now, actions);
         self.serve_queue(&pool, now, actions);
     }
 
@@ -53,11 +53,11 @@
         };
         engine.in_flight = engine.in_flight.saturating_sub(1);
         if ended.first_token_after.is_none() {
-            engine.remove_pending(ended.priority, ended.expectation.missed);
+            engine.remove_pending(ended.priority, ended.expectation.uncached_tokens);
         }
     }
 
-    pub(super) fn note_health(
+    pub(super) fn record_health(
         &mut self,
         ended: &AttemptRecord,
         outcome: AttemptOutcome,
@@ -81,7 +81,7 @@
     }
 
     /// Learns from how the expectations of an attempt came out.
-    fn learn(
+    fn update_estimates(
         &mut self,
         ended: &AttemptRecord,
         outcome: AttemptOutcome,
@@ -95,7 +95,7 @@
             return;
         };
         match outcome {
-            AttemptOutcome::NotRun(_) => self.knowledge.forget(&record.points, ended.engine),
+            AttemptOutcome::NotRun(_) => self.cache_directory.forget(&record.points, ended.engine),
             AttemptOutcome::Completed => {
                 let pool = self
                     .pools
@@ -107,23 +107,23 @@
                     engine.window.observe(0, 0, engine.in_flight + 1, now);
                 }
                 if let Some(exported) = ended.expectation.exported {
-                    self.kept.note_exported(exported, now);
+                    self.exported_prefixes.record_export(exported, now);
                 }
                 if ended.resumes.is_some() {
                     return;
                 }
-                self.knowledge
+                self.cache_directory
                     .note(&record.points, ended.engine, engine.epoch(), now);
                 let cached = observation.and_then(|observation| observation.cached_tokens);
                 if let Some(cached) = cached {
                     let prompt = observation
                         .and_then(|observation| observation.prompt_tokens)
                         .unwrap_or(record.profile.prompt_tokens);
-                    learn_cached(ended, engine, pool, cached, prompt);
+                    update_cache_estimates(ended, engine, pool, cached, prompt);
                     if let Some((prefix, tokens)) = ended.expectation.imported
                         && cached < tokens
                     {
-                        self.kept.note_gone(prefix);
+                        self.exported_prefixes.record_missing(prefix);
                     }
                 }
             }
@@ -133,7 +133,7 @@
     }
 }
 
-fn learn_cached(
+fn update_cache_estimates(
     ended: &AttemptRecord,
     engine: &mut EngineRecord,
     pool: &mut PoolState,
@@ -141,28 +141,28 @@
     prompt: u32,
 ) {
     let expectation = &ended.expectation;
-    let missed = prompt.saturating_sub(cached);
-    pool.mean_missed.add(f64::from(missed));
+    let uncached_tokens = prompt.saturating_sub(cached);
+    pool.mean_uncached_tokens.add(f64::from(uncached_tokens));
     if let (Some((age, epoch)), None) = (expectation.known_age, expectation.imported) {
-        let expected = f64::from(expectation.known_cached) * FOUND_SHARE;
+        let expected = f64::from(expectation.known_cached) * MIN_HIT_SHARE;
         if f64::from(cached) >= expected {
             engine.retention.found(age);
         } else if epoch == engine.epoch() {
             engine.retention.missed(age);
         }
     }
-    if let Some(unknown) = expectation.unknown_shared {
-        let found = unknown.found(cached);
-        pool.found_share
+    if let Some(unknown) = expectation.uncertain_range {
+        let found = unknown.hit_share(cached);
+        pool.cache_hit_estimate
             .observe(unknown.priority, unknown.tokens(), found);
     }
     let was_idle = expectation.tokens_ahead < 1.0 && expectation.imported.is_none();
     if let Some(first_token_after) = ended.first_token_after
         && was_idle
-        && missed >= SPEED_SAMPLE_TOKENS
+        && uncached_tokens >= MIN_SPEED_SAMPLE_TOKENS
         && !first_token_after.is_zero()
     {
-        let speed = f64::from(missed) / first_token_after.as_secs_f64();
+        let speed = f64::from(uncached_tokens) / first_token_after.as_secs_f64();
         pool.prefill_speed.observe(speed);
     }
 }
--- a/crates/core/src/dispatch/dispatcher/endings.rs
+++ b/crates/core/src/dispatch/dispatcher/endings.rs
@@ -22,17 +22,17 @@
             return;
         };
         let pool_name = record.profile.pool.clone();
-        if let Some(attempt) = record.running {
+        if let Some(attempt) = record.running_attempt {
             if let Some(ended) = self.attempts.remove(&attempt) {
                 self.release(&ended);
-                self.note_health(&ended, AttemptOutcome::Cancelled, now);
+                self.record_health(&ended, AttemptOutcome::Cancelled, now);
             }
             actions.push(DispatchAction::Cancel { attempt });
         } else {
             let tenant = record.profile.tenant.clone();
             let pool = self.pools.get_mut(&pool_name).expect("pool is known");
             pool.queue.remove(&tenant, &request);
-            self.leave_queue(&request);
+            self.remove_queue_expiry(&request);
         }
         self.finish(request, FinalOutcome::Cancelled, actions);
         self.serve_queue(&pool_name, now, actions);
@@ -41,9 +41,9 @@
     /// Cancels a request that waits for tickets of its tenant.
     fn cancel_waiting(&mut self, request: RequestId, actions: &mut Vec<DispatchAction>) {
         let waited = self
-            .tenant_gate
+            .tenant_limiter
             .as_mut()
-            .is_some_and(|gate| gate.cancel(&request));
+            .is_some_and(|limiter| limiter.cancel(&request));
         if waited {
             let outcome = FinalOutcome::Cancelled;
             actions.push(DispatchAction::Finish { request, outcome });
@@ -74,11 +74,12 @@
         actions: &mut Vec<DispatchAction>,
     ) {
         let run_state = self.requests[&request].run_state;
-        let passes = reason != RefusalReason::Rejected;
+        let may_succeed_later = reason != RefusalReason::Rejected;
         let refusal = Refusal {
             reason,
             run_state,
-            retry_after: (passes && run_state == RunState::NotRun).then_some(retry_after),
+            retry_after: (may_succeed_later && run_state == RunState::NotRun)
+                .then_some(retry_after),
         };
         self.finish(request, FinalOutcome::Refused(refusal), actions);
     }
@@ -95,7 +96,7 @@
 }
 
 /// Refuses a request that was never taken in.
-pub(super) fn refuse_unseen(request: RequestId, reason: RefusalReason) -> DispatchAction {
+pub(super) fn refuse_unadmitted(request: RequestId, reason: RefusalReason) -> DispatchAction {
     let refusal = Refusal {
         reason,
         run_state: RunState::NotRun,
--- a/crates/core/src/dispatch/dispatcher/placing.rs
+++ b/crates/core/src/dispatch/dispatcher/placing.rs
@@ -1,6 +1,6 @@
 //! Finding an engine for a request.
 
-use crate::dispatch::choice::{Blocked, Choice};
+use crate::dispatch::choice::{Choice, ChoiceError};
 use crate::dispatch::engine_chooser::EngineChooser;
 use crate::dispatch::request_record::RequestRecord;
 use crate::dispatch::{DispatchAction, Priority, RefusalReason};
@@ -20,18 +20,18 @@
     ) {
         match self.choose(&request, now) {
             Ok(choice) => self.start_unless_late(request, choice, now, actions),
-            Err(Blocked::NoRoom { first_token_in }) => {
+            Err(ChoiceError::NoRoom { first_token_in }) => {
                 self.enqueue(request, first_token_in, now, actions);
             }
-            Err(Blocked::Unavailable { until }) => {
+            Err(ChoiceError::Unavailable { until }) => {
                 let wait = until.since(now);
-                if wait <= self.parameters.unavailable_patience {
+                if wait <= self.parameters.max_unavailable_wait {
                     self.enqueue(request, wait, now, actions);
                 } else {
                     self.refuse(request, RefusalReason::NoBackEnd, wait, actions);
                 }
             }
-            Err(Blocked::None) => self.refuse_without_engine(request, actions),
+            Err(ChoiceError::NoEngine) => self.refuse_without_engine(request, actions),
         }
     }
 
@@ -42,11 +42,11 @@
         now: Timestamp,
         actions: &mut Vec<DispatchAction>,
     ) {
-        let certain_wait = choice
+        let optimistic_wait = choice
             .first_token_in
-            .mul_f64(self.parameters.deadline_certainty);
+            .mul_f64(self.parameters.optimistic_wait_share);
         let deadline = self.requests[&request].first_token_deadline();
-        if deadline.is_some_and(|deadline| now.after(certain_wait) > deadline) {
+        if deadline.is_some_and(|deadline| now.after(optimistic_wait) > deadline) {
             let retry_after = choice.first_token_in;
             self.refuse(request, RefusalReason::Deadline, retry_after, actions);
             return;
@@ -55,7 +55,11 @@
         self.start(request, choice, resume, now, actions);
     }
 
-    pub(super) fn choose(&self, request: &RequestId, now: Timestamp) -> Result<Choice, Blocked> {
+    pub(super) fn choose(
+        &self,
+        request: &RequestId,
+        now: Timestamp,
+    ) -> Result<Choice, ChoiceError> {
         let record = &self.requests[request];
         let pool = &self.pools[&record.profile.pool];
         let configured = self.snapshot.catalog.pools.get(&record.profile.pool);
@@ -64,10 +68,10 @@
             parameters: &self.parameters,
             engines: &self.engines,
             pool,
-            knowledge: &self.knowledge,
-            kept: &self.kept,
+            cache_directory: &self.cache_directory,
+            exported_prefixes: &self.exported_prefixes,
             kv_store: kv_store.filter(|_| self.parameters.mechanisms.kv_store),
-            distances: &self.distances,
+            data_centre_latencies: &self.data_centre_latencies,
             zone: &self.zone,
             now,
         };
@@ -77,7 +81,7 @@
 
     /// Batch work that has begun or waited long is treated as interactive, so that it never starves.
     fn effective_priority(&self, record: &RequestRecord, now: Timestamp) -> Priority {
-        if record.has_begun() {
+        if record.has_delivered_chunks() {
             return Priority::Interactive;
         }
         let promotion = self.parameters.queue.batch_promotion;
@@ -101,16 +105,16 @@
             &profile.prefix,
             profile.request.as_str(),
         );
-        let comes_first = |name: &&DataCentreName| match staged {
+        let is_preferred = |name: &&DataCentreName| match staged {
             Some(staged) => *name == staged.first,
-            None => self.distances.to(name) <= self.parameters.near_data_centre,
+            None => self.data_centre_latencies.to(name) <= self.parameters.near_data_centre_latency,
         };
         let index = &self.pools[&profile.pool].index;
         let excluded = staged.and_then(|staged| staged.excluded);
         let (first, others): (Vec<_>, Vec<_>) = index
             .data_centres()
             .filter(|name| Some(*name) != excluded)
-            .partition(comes_first);
+            .partition(is_preferred);
         [first, others].map(|group| group.into_iter().cloned().collect())
     }
 }
--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::admission::QueuedRequest;
-use crate::dispatch::choice::{Blocked, Choice};
+use crate::dispatch::choice::{Choice, ChoiceError};
 use crate::dispatch::{DispatchAction, RefusalReason};
 use crate::identity::{PoolName, RequestId};
 use crate::timestamp::Timestamp;
@@ -12,7 +12,7 @@
 
 /// How long a begun stream waits for a back end that can carry it on. It is only reached when
 /// none comes back that serves its weights.
-const CONTINUATION_PATIENCE: Duration = Duration::from_secs(120);
+const MAX_CONTINUATION_WAIT: Duration = Duration::from_secs(120);
 
 impl Dispatcher {
     pub(super) fn enqueue(
@@ -22,32 +22,32 @@
         now: Timestamp,
         actions: &mut Vec<DispatchAction>,
     ) {
-        let certain_wait = first_token_in.mul_f64(self.parameters.deadline_certainty);
+        let optimistic_wait = first_token_in.mul_f64(self.parameters.optimistic_wait_share);
         let record = self.requests.get_mut(&request).expect("request is known");
-        let last_start = record
+        let latest_start = record
             .first_token_deadline()
-            .map(|deadline| deadline.before(certain_wait));
-        if last_start.is_some_and(|last_start| last_start < now) {
+            .map(|deadline| deadline.before(optimistic_wait));
+        if latest_start.is_some_and(|latest_start| latest_start < now) {
             self.refuse(request, RefusalReason::Deadline, first_token_in, actions);
             return;
         }
         let priority = record.profile.priority;
-        let (patience, given_up_for) = if record.has_begun() {
-            (CONTINUATION_PATIENCE, RefusalReason::NoBackEnd)
+        let (max_wait, timeout_reason) = if record.has_delivered_chunks() {
+            (MAX_CONTINUATION_WAIT, RefusalReason::NoBackEnd)
         } else {
-            let patience = self.parameters.queue_wait(priority);
-            (patience, RefusalReason::QueueFull)
+            let max_wait = self.parameters.queue_wait(priority);
+            (max_wait, RefusalReason::QueueFull)
         };
-        let patience_ends = now.after(patience);
+        let wait_ends_at = now.after(max_wait);
         record.queued_at.get_or_insert(now);
-        (record.give_up_at, record.give_up_reason) = match last_start {
-            Some(last_start) if last_start <= patience_ends => {
-                (last_start, RefusalReason::Deadline)
+        (record.expires_at, record.expiry_reason) = match latest_start {
+            Some(latest_start) if latest_start <= wait_ends_at => {
+                (latest_start, RefusalReason::Deadline)
             }
-            _ => (patience_ends, given_up_for),
+            _ => (wait_ends_at, timeout_reason),
         };
-        self.give_up_times
-            .insert((record.give_up_at, request.clone()));
+        self.queue_expiries
+            .insert((record.expires_at, request.clone()));
         self.push_queued(&request, now, actions);
     }
 
@@ -72,31 +72,31 @@
             queued_at: record.queued_at.unwrap_or(now),
         };
         let pool = self.pools.get_mut(&profile.pool).expect("pool is known");
-        if record.has_begun() {
+        if record.has_delivered_chunks() {
             pool.queue.push_continuation(queued);
-        } else if let Some(given_up) = pool.queue.push(queued) {
+        } else if let Some(displaced) = pool.queue.push(queued) {
             let retry_after = pool.service_rate.wait_for(pool.queue.len(), now);
-            let request = given_up.request;
-            self.leave_queue(&request);
+            let request = displaced.request;
+            self.remove_queue_expiry(&request);
             self.refuse(request, RefusalReason::QueueFull, retry_after, actions);
         }
     }
 
     /// Forgets that a request waits; its place in the queue itself is taken by the caller.
-    pub(super) fn leave_queue(&mut self, request: &RequestId) {
-        let give_up_at = self.requests[request].give_up_at;
-        self.give_up_times.remove(&(give_up_at, request.clone()));
+    pub(super) fn remove_queue_expiry(&mut self, request: &RequestId) {
+        let expires_at = self.requests[request].expires_at;
+        self.queue_expiries.remove(&(expires_at, request.clone()));
     }
 
-    pub(super) fn give_up_overdue(&mut self, now: Timestamp, actions: &mut Vec<DispatchAction>) {
-        while let Some((give_up_at, request)) = self.give_up_times.first().cloned() {
-            if give_up_at > now {
+    pub(super) fn refuse_expired(&mut self, now: Timestamp, actions: &mut Vec<DispatchAction>) {
+        while let Some((expires_at, request)) = self.queue_expiries.first().cloned() {
+            if expires_at > now {
                 return;
             }
-            self.give_up_times.pop_first();
+            self.queue_expiries.pop_first();
             let record = &self.requests[&request];
             let profile = &record.profile;
-            let reason = record.give_up_reason;
+            let reason = record.expiry_reason;
             let pool = self.pools.get_mut(&profile.pool).expect("pool is known");
             pool.queue.remove(&profile.tenant, &request);
             let retry_after = pool.service_rate.wait_for(pool.queue.len() + 1, now);
@@ -131,7 +131,7 @@
             };
             let pool = self.pools.get_mut(pool).expect("pool is known");
             pool.queue.take_first_continuation();
-            self.leave_queue_for(request, choice, now, actions);
+            self.start_dequeued(request, choice, now, actions);
         }
         while let Some(first) = self.pools[pool].queue.first(now) {
             let request = first.request.clone();
@@ -140,7 +140,7 @@
             };
             let pool = self.pools.get_mut(pool).expect("pool is known");
             pool.queue.take_first(now);
-            self.leave_queue_for(request, choice, now, actions);
+            self.start_dequeued(request, choice, now, actions);
         }
     }
 
@@ -149,27 +149,27 @@
         &self,
         request: &RequestId,
         now: Timestamp,
-    ) -> Option<Result<Choice, Blocked>> {
-        let patience = self.parameters.unavailable_patience;
+    ) -> Option<Result<Choice, ChoiceError>> {
+        let max_wait = self.parameters.max_unavailable_wait;
         match self.choose(request, now) {
-            Err(Blocked::NoRoom { .. }) => None,
-            Err(Blocked::Unavailable { until }) if until.since(now) <= patience => None,
+            Err(ChoiceError::NoRoom { .. }) => None,
+            Err(ChoiceError::Unavailable { until }) if until.since(now) <= max_wait => None,
             choice => Some(choice),
         }
     }
 
     /// Starts or refuses a request that has just been taken from its queue.
-    fn leave_queue_for(
+    fn start_dequeued(
         &mut self,
         request: RequestId,
-        choice: Result<Choice, Blocked>,
+        choice: Result<Choice, ChoiceError>,
         now: Timestamp,
         actions: &mut Vec<DispatchAction>,
     ) {
-        self.leave_queue(&request);
+        self.remove_queue_expiry(&request);
         match choice {
             Ok(choice) => self.start_unless_late(request, choice, now, actions),
-            Err(Blocked::Unavailable { until }) => {
+            Err(ChoiceError::Unavailable { until }) => {
                 self.refuse(request, RefusalReason::NoBackEnd, until.since(now), actions);
             }
             Err(_) => self.refuse_without_engine(request, actions),
--- a/crates/core/src/dispatch/dispatcher/retries.rs
+++ b/crates/core/src/dispatch/dispatcher/retries.rs
@@ -16,7 +16,7 @@
 
 impl Dispatcher {
     /// Decides what becomes of the request after an attempt.
-    pub(super) fn follow_up(
+    pub(super) fn finish_or_retry(
         &mut self,
         request: RequestId,
         attempt: AttemptId,
@@ -35,17 +35,17 @@
             AttemptOutcome::NotRun(reason) => {
                 // The next attempt will ask for the incarnation that has just been learnt.
                 if reason != NotRunReason::IncarnationMismatch || ended.resumes.is_some() {
-                    record.failed.insert(ended.engine);
+                    record.failed_engines.insert(ended.engine);
                 }
                 self.run_again_or_refuse(request, now, actions);
             }
             AttemptOutcome::Broken { chunks } => {
-                record.note_run_state(RunState::Ran);
+                record.record_run_state(RunState::Ran);
                 record.delivered_chunks = record.delivered_chunks.max(chunks);
                 self.resume_or_run_again(request, attempt, ended, now, actions);
             }
             AttemptOutcome::Unknown => {
-                record.note_run_state(RunState::Unknown);
+                record.record_run_state(RunState::Unknown);
                 self.resume_or_run_again(request, attempt, ended, now, actions);
             }
         }
@@ -62,9 +62,9 @@
         actions: &mut Vec<DispatchAction>,
     ) {
         let record = self.requests.get_mut(&request).expect("request is known");
-        record.failed.insert(ended.engine);
+        record.failed_engines.insert(ended.engine);
         let back_end = self.snapshot.catalog.back_ends.get(&ended.back_end);
-        let lives_on = |engine: EngineKey| {
+        let is_same_process = |engine: EngineKey| {
             let known = self.engines.get(engine)?.incarnation();
             (known == ended.incarnation).then_some(())
         };
@@ -72,7 +72,7 @@
             && record.attempts_made < self.parameters.max_attempts
             && ended.resumes.is_none()
             && ended.incarnation.is_some()
-            && lives_on(ended.engine).is_some();
+            && is_same_process(ended.engine).is_some();
         let Some(back_end) = back_end.filter(|_| can_resume) else {
             self.run_again_or_refuse(request, now, actions);
             return;
--- a/crates/core/src/dispatch/dispatcher/starting.rs
+++ b/crates/core/src/dispatch/dispatcher/starting.rs
@@ -20,7 +20,7 @@
         let attempt = self.next_attempt();
         let record = self.requests.get_mut(&request).expect("request is known");
         record.attempts_made += 1;
-        record.running = Some(attempt);
+        record.running_attempt = Some(attempt);
         record.queued_at = None;
         let priority = record.profile.priority;
         let resumes = match resume {
@@ -32,13 +32,13 @@
             .get_mut(choice.engine)
             .expect("chosen engines are known");
         engine.in_flight += 1;
-        engine.add_pending(priority, choice.expectation.missed, now);
-        engine.note_weights_probe(record.weights_version, now);
+        engine.add_pending(priority, choice.expectation.uncached_tokens, now);
+        engine.record_weights_probe(record.weights_version, now);
         if choice.is_probe {
             engine.health.probe_sent();
         }
         if resumes.is_none() {
-            self.knowledge
+            self.cache_directory
                 .note(&record.points, choice.engine, engine.epoch(), now);
         }
         let back_end = choice.back_end;
--- a/crates/core/src/dispatch/dispatcher/submission.rs
+++ b/crates/core/src/dispatch/dispatcher/submission.rs
@@ -9,7 +9,7 @@
 use crate::timestamp::Timestamp;
 
 use super::Dispatcher;
-use super::endings::refuse_unseen;
+use super::endings::refuse_unadmitted;
 
 impl Dispatcher {
     pub(super) fn admit(
@@ -18,8 +18,8 @@
         now: Timestamp,
         actions: &mut Vec<DispatchAction>,
     ) {
-        let admitted = match &mut self.tenant_gate {
-            Some(gate) => gate.admit(profile, now, actions),
+        let admitted = match &mut self.tenant_limiter {
+            Some(limiter) => limiter.admit(profile, now, actions),
             None => Some(profile),
         };
         self.submit_all(admitted, now, actions);
@@ -44,11 +44,11 @@
     ) {
         let request = profile.request.clone();
         if self.requests.contains_key(&request) {
-            actions.push(refuse_unseen(request, RefusalReason::Rejected));
+            actions.push(refuse_unadmitted(request, RefusalReason::Rejected));
             return;
         }
         let Some(pool) = self.snapshot.catalog.pools.get(&profile.pool) else {
-            actions.push(refuse_unseen(request, RefusalReason::NoSuchPool));
+            actions.push(refuse_unadmitted(request, RefusalReason::NoSuchPool));
             return;
         };
         let weights_version = match pool.kind {
@@ -59,7 +59,7 @@
         };
         self.first_request_at.get_or_insert(now);
         let mut record = RequestRecord::new(profile, weights_version);
-        self.note_heat(&mut record, now);
+        self.count_prefixes(&mut record, now);
         let must_wait = self.pools[&record.profile.pool]
             .queue
             .holds_back(record.profile.priority);
@@ -72,7 +72,7 @@
     }
 
     /// Counts the request for its prefixes and derives over how many engines each is spread.
-    fn note_heat(&mut self, record: &mut RequestRecord, now: Timestamp) {
+    fn count_prefixes(&mut self, record: &mut RequestRecord, now: Timestamp) {
         let pool = &self.pools[&record.profile.pool];
         let is_warm = self
             .first_request_at
@@ -80,9 +80,9 @@
         let shared = record.points.shared();
         record.is_recurring = shared
             .last()
-            .is_some_and(|point| self.heat.knows(point.hash));
+            .is_some_and(|point| self.prefix_rates.knows(point.hash));
         for point in shared {
-            self.heat.count(point.hash, now);
+            self.prefix_rates.count(point.hash, now);
         }
         if !self.parameters.mechanisms.prefix_widths {
             return;
@@ -93,7 +93,7 @@
                 if !is_warm {
                     return PrefixWidth::unlimited(point.hash);
                 }
-                let concurrency = pool.concurrency(self.heat.per_second(point.hash, now));
+                let concurrency = pool.concurrency(self.prefix_rates.per_second(point.hash, now));
                 let per_engine = self.parameters.requests_per_engine;
                 PrefixWidth::for_concurrency(point.hash, concurrency, per_engine)
             })
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -10,19 +10,19 @@
 };
 use crate::timestamp::Timestamp;
 
-use super::attempt_record::{Expectation, UnknownShared};
+use super::attempt_record::{Expectation, UncertainRange};
 use super::candidate::Candidate;
-use super::choice::{Blocked, Choice};
+use super::choice::{Choice, ChoiceError};
 use super::engine_record::EngineRecord;
 use super::engine_table::EngineTable;
-use super::kept_prefixes::KeptPrefixes;
+use super::exported_prefixes::ExportedPrefixes;
 use super::known_holder::KnownHolder;
 use super::pool_state::PoolState;
 use super::request_record::RequestRecord;
 use super::{DispatchParameters, KvExport, KvImport, Priority};
 
 /// Most engines with a known part of a prompt that are considered.
-const MOST_HOLDERS: usize = 8;
+const MAX_HOLDERS: usize = 8;
 
 /// Chooses an engine for a request: the one with the least cost among the first in the
 /// deterministic order and those known to hold part of the prompt.
@@ -34,10 +34,10 @@
     pub(super) parameters: &'a DispatchParameters,
     pub(super) engines: &'a EngineTable,
     pub(super) pool: &'a PoolState,
-    pub(super) knowledge: &'a CacheKnowledge,
-    pub(super) kept: &'a KeptPrefixes,
+    pub(super) cache_directory: &'a CacheKnowledge,
+    pub(super) exported_prefixes: &'a ExportedPrefixes,
     pub(super) kv_store: Option<SocketAddr>,
-    pub(super) distances: &'a SiteDistance,
+    pub(super) data_centre_latencies: &'a SiteDistance,
     pub(super) zone: &'a ZoneName,
     pub(super) now: Timestamp,
 }
@@ -49,15 +49,15 @@
         record: &RequestRecord,
         priority: Priority,
         groups: &[Vec<DataCentreName>],
-    ) -> Result<Choice, Blocked> {
-        let mut blocked = Blocked::None;
+    ) -> Result<Choice, ChoiceError> {
+        let mut error = ChoiceError::NoEngine;
         for data_centres in groups {
             match self.choose_in(data_centres, record, priority) {
                 Ok(choice) => return Ok(choice),
-                Err(why) => blocked = blocked.or(why),
+                Err(why) => error = error.or(why),
             }
         }
-        Err(blocked)
+        Err(error)
     }
 
     fn choose_in(
@@ -65,7 +65,7 @@
         data_centres: &[DataCentreName],
         record: &RequestRecord,
         priority: Priority,
-    ) -> Result<Choice, Blocked> {
+    ) -> Result<Choice, ChoiceError> {
         let index = &self.pool.index;
         let members = index.members();
         let positions: Vec<usize> = index.positions_in(data_centres).collect();
@@ -73,7 +73,7 @@
         let key = placement_key(record);
         let order = CandidateOrder::new(members, positions, &record.widths, key, limit);
         let holders = self.known_holders(record);
-        let is_first = |position: usize| order.positions().first() == Some(&position);
+        let is_first_in_order = |position: usize| order.positions().first() == Some(&position);
         let mut seen = BTreeSet::new();
         let mut candidates = Vec::new();
         let holder_positions = holders
@@ -85,7 +85,7 @@
             if seen.insert(member.key) && self.is_usable(member, record) {
                 candidates.push(self.candidate(
                     member,
-                    is_first(position),
+                    is_first_in_order(position),
                     &holders,
                     record,
                     priority,
@@ -99,7 +99,7 @@
             if seen.insert(member.key) && self.is_usable(member, record) {
                 candidates.push(self.candidate(
                     member,
-                    is_first(position),
+                    is_first_in_order(position),
                     &holders,
                     record,
                     priority,
@@ -118,7 +118,13 @@
             if !seen.insert(member.key) || !self.is_usable(member, record) {
                 continue;
             }
-            let candidate = self.candidate(member, is_first(position), &holders, record, priority);
+            let candidate = self.candidate(
+                member,
+                is_first_in_order(position),
+                &holders,
+                record,
+                priority,
+            );
             if candidate.has_room {
                 return Ok(self.choice(&candidate, record));
             }
@@ -127,7 +133,7 @@
         let in_group = index
             .positions_in(data_centres)
             .map(|position| &members[position]);
-        Err(self.blocked(in_group, &candidates, record))
+        Err(self.choice_error(in_group, &candidates, record))
     }
 
     /// The cheapest candidate with room, of those that meet the deadline where any does.
@@ -155,24 +161,26 @@
             })
     }
 
-    fn blocked<'b>(
+    fn choice_error<'b>(
         &self,
         members: impl Iterator<Item = &'b PoolMember>,
         candidates: &[Candidate<'_>],
         record: &RequestRecord,
-    ) -> Blocked {
+    ) -> ChoiceError {
         let fastest = candidates
             .iter()
             .map(|candidate| candidate.first_token_in)
             .min();
         if let Some(first_token_in) = fastest {
-            return Blocked::NoRoom { first_token_in };
+            return ChoiceError::NoRoom { first_token_in };
         }
         members
-            .filter(|member| !record.failed.contains(&member.key))
+            .filter(|member| !record.failed_engines.contains(&member.key))
             .filter_map(|member| self.available_at(member, record))
             .min()
-            .map_or(Blocked::None, |until| Blocked::Unavailable { until })
+            .map_or(ChoiceError::NoEngine, |until| ChoiceError::Unavailable {
+                until,
+            })
     }
 
     /// When an engine that does not serve now may be asked again.
@@ -187,7 +195,7 @@
     }
 
     fn is_usable(&self, member: &PoolMember, record: &RequestRecord) -> bool {
-        if record.failed.contains(&member.key) {
+        if record.failed_engines.contains(&member.key) {
             return false;
         }
         let Some(engine) = self.engines.get(member.key) else {
@@ -206,7 +214,7 @@
     fn candidate<'b>(
         &self,
         member: &'b PoolMember,
-        is_first: bool,
+        is_first_in_order: bool,
         holders: &[KnownHolder],
         record: &RequestRecord,
         priority: Priority,
@@ -218,46 +226,46 @@
         let known = holders.iter().find(|holder| holder.engine == member.key);
         let shared = record.points.deepest_shared();
         let known_cached = known.map_or(0, |holder| holder.tokens);
-        let unknown_shared = shared
-            .map(|shared| UnknownShared {
+        let uncertain_range = shared
+            .map(|shared| UncertainRange {
                 priority: record.profile.priority,
-                base: f64::from(known_cached).max(self.spread_tokens(holders)),
+                start: f64::from(known_cached).max(self.widely_cached_tokens(holders)),
                 end: f64::from(shared.end_tokens),
             })
-            .filter(|unknown| is_first && unknown.end > unknown.base);
-        let expected_cached = self.expected_cached(known_cached, unknown_shared, holders);
+            .filter(|unknown| is_first_in_order && unknown.end > unknown.start);
+        let expected_cached = self.expected_cached(known_cached, uncertain_range, holders);
         let prompt = f64::from(record.profile.prompt_tokens);
         let import = self.import_beyond(expected_cached, record);
-        let (missed, import_cost) = match import {
+        let (uncached_tokens, import_cost) = match import {
             Some(point) => (
                 prompt - f64::from(point.end_tokens),
                 self.import_cost(f64::from(point.end_tokens) - expected_cached),
             ),
             None => (prompt - expected_cached, 0.0),
         };
-        let missed = missed.max(1.0);
+        let uncached_tokens = uncached_tokens.max(1.0);
         let tokens_ahead = engine.tokens_ahead(
             priority,
             self.pool.prefill_speed.tokens_per_second(),
-            self.pool.mean_missed.value(),
+            self.pool.mean_uncached_tokens.value(),
             self.now,
         );
-        let distance = self.distance(member);
-        let until_first_token = tokens_ahead + missed + import_cost;
-        let crowding = self.crowding(engine);
-        let price = missed * self.parameters.recompute_price(priority);
+        let latency = self.latency(member);
+        let until_first_token = tokens_ahead + uncached_tokens + import_cost;
+        let kv_memory_cost = self.kv_memory_cost(engine);
+        let price = uncached_tokens * self.parameters.recompute_price(priority);
         Candidate {
             member,
             is_probe: !engine.health.is_serving(),
             has_room: self.has_room(engine, record, priority),
-            cost: until_first_token + self.pool.tokens_in(distance) + crowding + price,
-            first_token_in: self.pool.prefill_time(until_first_token) + distance,
+            cost: until_first_token + self.pool.tokens_in(latency) + kv_memory_cost + price,
+            first_token_in: self.pool.prefill_time(until_first_token) + latency,
             import: import.map(|point| (point.hash, point.end_tokens)),
             expectation: Expectation {
                 known_cached,
                 known_age: known.map(|holder| (holder.age, holder.epoch)),
-                unknown_shared,
-                missed: missed as u32,
+                uncertain_range,
+                uncached_tokens: uncached_tokens as u32,
                 tokens_ahead,
                 imported: import.map(|point| (point.hash, point.end_tokens)),
                 exported: None,
@@ -269,9 +277,9 @@
     ///
     /// The part for waiting requests is bounded: with long queues everywhere, their differences
     /// must not outweigh recomputation, or an overload would feed itself.
-    fn crowding(&self, engine: &EngineRecord) -> f64 {
+    fn kv_memory_cost(&self, engine: &EngineRecord) -> f64 {
         let parameters = self.parameters;
-        let waiting = engine.waiting(self.now).min(parameters.most_waiting_priced);
+        let waiting = engine.waiting(self.now).min(parameters.max_waiting_counted);
         engine.running(self.now) * parameters.tokens_per_running_request
             + waiting * parameters.tokens_per_waiting_request
     }
@@ -289,50 +297,53 @@
     fn expected_cached(
         &self,
         known_cached: u32,
-        unknown_shared: Option<UnknownShared>,
+        uncertain_range: Option<UncertainRange>,
         holders: &[KnownHolder],
     ) -> f64 {
         let known = f64::from(known_cached);
         if !self.parameters.mechanisms.cache_prior {
             return known;
         }
-        let spread = self.spread_tokens(holders) * self.parameters.spread_credit;
-        let found = unknown_shared.map_or(0.0, |unknown| {
+        let widely_cached =
+            self.widely_cached_tokens(holders) * self.parameters.widely_cached_credit;
+        let found = uncertain_range.map_or(0.0, |unknown| {
             let share = self
                 .pool
-                .found_share
+                .cache_hit_estimate
                 .expected(unknown.priority, unknown.tokens());
-            unknown.base + share * unknown.tokens()
+            unknown.start + share * unknown.tokens()
         });
-        known.max(spread).max(found)
+        known.max(widely_cached).max(found)
     }
 
     /// Tokens of the longest prefix that so many engines are known to hold that any may.
-    fn spread_tokens(&self, holders: &[KnownHolder]) -> f64 {
+    fn widely_cached_tokens(&self, holders: &[KnownHolder]) -> f64 {
         let mut tokens: Vec<u32> = holders.iter().map(|holder| holder.tokens).collect();
         tokens.sort_unstable_by(|left, right| right.cmp(left));
         tokens
-            .get(self.parameters.spread_holders - 1)
+            .get(self.parameters.widely_cached_min_engines - 1)
             .map_or(0.0, |tokens| f64::from(*tokens))
     }
 
-    fn distance(&self, member: &PoolMember) -> Duration {
-        let to_site = self.distances.to(&member.back_end.data_centre);
+    fn latency(&self, member: &PoolMember) -> Duration {
+        let to_site = self.data_centre_latencies.to(&member.back_end.data_centre);
         if member.back_end.zone == *self.zone {
             to_site
         } else {
-            to_site.max(self.parameters.zone_distance)
+            to_site.max(self.parameters.zone_latency)
         }
     }
 
     /// The kept prefix whose import is faster than computing what the cache lacks of it.
     fn import_beyond(&self, cached: f64, record: &RequestRecord) -> Option<PlacementPoint> {
         self.kv_store?;
-        let point = self.kept.longest(record.points.all(), self.now)?;
+        let point = self
+            .exported_prefixes
+            .longest(record.points.all(), self.now)?;
         let gained = f64::from(point.end_tokens) - cached;
-        let pays = gained >= f64::from(self.parameters.kv_minimum_tokens)
+        let is_worthwhile = gained >= f64::from(self.parameters.kv_minimum_tokens)
             && self.import_cost(gained) < gained;
-        pays.then_some(point)
+        is_worthwhile.then_some(point)
     }
 
     /// Prompt tokens that could be computed while so many are imported.
@@ -346,12 +357,12 @@
     /// Engines expected to hold part of the prompt, each with the longest part.
     fn known_holders(&self, record: &RequestRecord) -> Vec<KnownHolder> {
         let mut holders: Vec<KnownHolder> = Vec::new();
-        if !self.parameters.mechanisms.cache_knowledge {
+        if !self.parameters.mechanisms.cache_directory {
             return holders;
         }
         for point in record.points.all().iter().rev() {
             let epoch_of = |key: EngineKey| self.engines.epoch_of(key);
-            for holder in self.knowledge.holders(point.hash, epoch_of) {
+            for holder in self.cache_directory.holders(point.hash, epoch_of) {
                 let age = self.now.since(holder.used_at);
                 let is_kept = self
                     .engines
@@ -367,7 +378,7 @@
                     });
                 }
             }
-            if holders.len() >= MOST_HOLDERS {
+            if holders.len() >= MAX_HOLDERS {
                 break;
             }
         }
@@ -399,10 +410,10 @@
     fn export_after(&self, record: &RequestRecord) -> Option<KvExport> {
         let store = self.kv_store?;
         let shared = record.points.shared().last()?;
-        let is_worth = record.is_recurring
+        let is_worthwhile = record.is_recurring
             && shared.end_tokens >= self.parameters.kv_minimum_tokens
-            && !self.kept.is_kept(shared.hash, self.now);
-        is_worth.then_some(KvExport {
+            && !self.exported_prefixes.is_stored(shared.hash, self.now);
+        is_worthwhile.then_some(KvExport {
             store,
             prefix: shared.hash,
             tokens: shared.end_tokens,
--- a/crates/core/src/dispatch/engine_record.rs
+++ b/crates/core/src/dispatch/engine_record.rs
@@ -16,7 +16,7 @@
 /// Load reports are taken to tell of a time so long ago; what answers told since counts more.
 const REPORT_LAG: Duration = Duration::from_millis(300);
 /// For so long after an engine said it drains it gets no new work, unless it says otherwise.
-const DRAINING_HOLD: Duration = Duration::from_secs(5);
+const DRAINING_TIMEOUT: Duration = Duration::from_secs(5);
 /// An engine with other weights is asked at most so often whether it has the right ones now.
 const WEIGHTS_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -75,12 +75,12 @@
 
     /// Takes what a lagging report told, unless an answer told more since.
     pub(super) fn observe_report(&mut self, observation: &EngineObservation, now: Timestamp) {
-        let told_at = now.before(REPORT_LAG);
-        let is_newer = |load: ObservedLoad| load.at > told_at;
+        let observed_at = now.before(REPORT_LAG);
+        let is_newer = |load: ObservedLoad| load.observed_at > observed_at;
         if self.load.is_some_and(is_newer) && self.incarnation >= Some(observation.incarnation) {
             return;
         }
-        self.observe(observation, told_at, now);
+        self.observe(observation, observed_at, now);
     }
 
     /// Share of its requests that are this process's own, as last told.
@@ -96,43 +96,45 @@
     /// Whether it said that it drains.
     pub(super) fn is_draining(&self, now: Timestamp) -> bool {
         self.draining_at
-            .is_some_and(|at| now.since(at) < DRAINING_HOLD)
+            .is_some_and(|at| now.since(at) < DRAINING_TIMEOUT)
     }
 
     /// Notes that a request is sent although it last told of other weights.
-    pub(super) fn note_weights_probe(&mut self, weights: Option<WeightsVersion>, now: Timestamp) {
+    pub(super) fn record_weights_probe(&mut self, weights: Option<WeightsVersion>, now: Timestamp) {
         if self.has_other_weights(weights) {
             self.weights_probed_at = Some(now);
         }
     }
 
     /// Prompt tokens it has to compute before a new request's own (estimate), when it computes
-    /// `speed` a second and requests miss `mean_missed` on average.
+    /// `speed` a second and requests miss `mean_uncached_tokens` on average.
     pub(super) fn tokens_ahead(
         &self,
         priority: Priority,
         speed: f64,
-        mean_missed: f64,
+        mean_uncached_tokens: f64,
         now: Timestamp,
     ) -> f64 {
-        if let Some(ahead) = self.told_tokens_ahead(priority, speed, now) {
+        if let Some(ahead) = self.reported_tokens_ahead(priority, speed, now) {
             return ahead;
         }
         let own = match priority {
             Priority::Interactive => self.pending[0],
             Priority::Batch => self.pending[0] + self.pending[1],
         };
-        let foreign = self.load.map_or(0.0, |load| load.foreign_waiting(now));
-        own as f64 + foreign * mean_missed
+        let other_routers = self
+            .load
+            .map_or(0.0, |load| load.other_routers_waiting(now));
+        own as f64 + other_routers * mean_uncached_tokens
     }
 
     /// What the engine last told, less what it can have computed since, and what was sent since.
-    fn told_tokens_ahead(&self, priority: Priority, speed: f64, now: Timestamp) -> Option<f64> {
+    fn reported_tokens_ahead(&self, priority: Priority, speed: f64, now: Timestamp) -> Option<f64> {
         let load = self.load?;
-        let told = load.queued_tokens(priority)?;
-        let sent = self.sent.since(load.at, priority, now)?;
-        let computed = speed * now.since(load.at).as_secs_f64();
-        Some((told + sent - computed).max(0.0))
+        let reported = load.queued_tokens(priority)?;
+        let sent = self.sent.since(load.observed_at, priority, now)?;
+        let computed = speed * now.since(load.observed_at).as_secs_f64();
+        Some((reported + sent - computed).max(0.0))
     }
 
     /// Requests that wait in it, as last told.
@@ -142,8 +144,10 @@
 
     /// Requests it runs (estimate).
     pub(super) fn running(&self, now: Timestamp) -> f64 {
-        let foreign = self.load.map_or(0.0, |load| load.foreign_running(now));
-        f64::from(self.in_flight) + foreign
+        let other_routers = self
+            .load
+            .map_or(0.0, |load| load.other_routers_running(now));
+        f64::from(self.in_flight) + other_routers
     }
 
     pub(super) fn add_pending(&mut self, priority: Priority, tokens: u32, now: Timestamp) {
@@ -156,18 +160,18 @@
         *pending = pending.saturating_sub(u64::from(tokens));
     }
 
-    fn observe(&mut self, observation: &EngineObservation, told_at: Timestamp, now: Timestamp) {
+    fn observe(&mut self, observation: &EngineObservation, observed_at: Timestamp, now: Timestamp) {
         // Incarnations only rise: what an older one said is void.
         if self.incarnation > Some(observation.incarnation) {
             return;
         }
-        self.note_incarnation(observation.incarnation);
-        self.note_weights(observation.weights_version);
-        self.note_draining(observation.draining, told_at, now);
-        self.load = Some(ObservedLoad::new(observation, self.in_flight, told_at));
+        self.record_incarnation(observation.incarnation);
+        self.record_weights(observation.weights_version);
+        self.record_draining(observation.draining, observed_at, now);
+        self.load = Some(ObservedLoad::new(observation, self.in_flight, observed_at));
     }
 
-    fn note_incarnation(&mut self, incarnation: Incarnation) {
+    fn record_incarnation(&mut self, incarnation: Incarnation) {
         if self.incarnation == Some(incarnation) {
             return;
         }
@@ -181,7 +185,7 @@
         self.weights_version = None;
     }
 
-    fn note_weights(&mut self, weights: WeightsVersion) {
+    fn record_weights(&mut self, weights: WeightsVersion) {
         if self.weights_version == Some(weights) {
             return;
         }
@@ -191,17 +195,17 @@
         self.weights_version = Some(weights);
     }
 
-    fn note_draining(&mut self, draining: bool, told_at: Timestamp, now: Timestamp) {
+    fn record_draining(&mut self, draining: bool, observed_at: Timestamp, now: Timestamp) {
         if draining {
             self.draining_at = Some(now);
-        } else if self.draining_at.is_some_and(|since| since < told_at) {
+        } else if self.draining_at.is_some_and(|since| since < observed_at) {
             self.draining_at = None;
         }
     }
 
     fn serves(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
-        let asked_lately = |at: Timestamp| now.since(at) < WEIGHTS_PROBE_INTERVAL;
-        !self.has_other_weights(weights) || !self.weights_probed_at.is_some_and(asked_lately)
+        let probed_recently = |at: Timestamp| now.since(at) < WEIGHTS_PROBE_INTERVAL;
+        !self.has_other_weights(weights) || !self.weights_probed_at.is_some_and(probed_recently)
     }
 
     fn has_other_weights(&self, weights: Option<WeightsVersion>) -> bool {
--- a/crates/core/src/dispatch/kept_prefixes.rs
+++ b/crates/core/src/dispatch/exported_prefixes.rs
@@ -11,12 +11,12 @@
 /// Only a hint: a prefix that is gone is recomputed. Hashes are salted with the weights version, so
 /// nothing computed by other weights is ever imported.
 #[derive(Debug)]
-pub(super) struct KeptPrefixes {
+pub(super) struct ExportedPrefixes {
     retention: Duration,
     exported_at: GenerationalMap<Option<Timestamp>>,
 }
 
-impl KeptPrefixes {
+impl ExportedPrefixes {
     pub(super) fn new(generation_size: usize, retention: Duration) -> Self {
         Self {
             retention,
@@ -24,18 +24,18 @@
         }
     }
 
-    pub(super) fn note_exported(&mut self, prefix: BlockHash, now: Timestamp) {
+    pub(super) fn record_export(&mut self, prefix: BlockHash, now: Timestamp) {
         *self.exported_at.get_or_insert_with(prefix, || None) = Some(now);
     }
 
     /// An import did not find it.
-    pub(super) fn note_gone(&mut self, prefix: BlockHash) {
+    pub(super) fn record_missing(&mut self, prefix: BlockHash) {
         if let Some(exported_at) = self.exported_at.get_mut(prefix) {
             *exported_at = None;
         }
     }
 
-    pub(super) fn is_kept(&self, prefix: BlockHash, now: Timestamp) -> bool {
+    pub(super) fn is_stored(&self, prefix: BlockHash, now: Timestamp) -> bool {
         let exported_at = self.exported_at.get(prefix).copied().flatten();
         exported_at.is_some_and(|at| now.since(at) < self.retention)
     }
@@ -46,7 +46,7 @@
         points: &[PlacementPoint],
         now: Timestamp,
     ) -> Option<PlacementPoint> {
-        let is_kept = |point: &&PlacementPoint| self.is_kept(point.hash, now);
-        points.iter().rev().find(is_kept).copied()
+        let is_stored = |point: &&PlacementPoint| self.is_stored(point.hash, now);
+        points.iter().rev().find(is_stored).copied()
     }
 }
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -18,8 +18,8 @@
 mod engine_observation;
 mod engine_record;
 mod engine_table;
+mod exported_prefixes;
 mod final_outcome;
-mod kept_prefixes;
 mod known_holder;
 mod kv_export;
 mod kv_import;
@@ -38,7 +38,7 @@
 mod run_state;
 mod sent_tokens;
 mod smoothed;
-mod tenant_gate;
+mod tenant_limiter;
 
 pub use assignment::Assignment;
 pub use attempt_outcome::AttemptOutcome;
--- a/crates/core/src/dispatch/observed_load.rs
+++ b/crates/core/src/dispatch/observed_load.rs
@@ -7,7 +7,7 @@
 use super::{EngineObservation, Priority, QueuedTokens};
 
 /// After this long little is left of what an engine told of requests of other processes.
-const TIME_CONSTANT: Duration = Duration::from_secs(1);
+const LOAD_DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// Load of an engine as it last told, and how much of it was this process's own.
 #[derive(Debug, Clone, Copy)]
@@ -17,17 +17,21 @@
     queued_tokens: Option<QueuedTokens>,
     own_in_flight: u32,
     /// The time it tells of.
-    pub(super) at: Timestamp,
+    pub(super) observed_at: Timestamp,
 }
 
 impl ObservedLoad {
-    pub(super) fn new(observation: &EngineObservation, own_in_flight: u32, at: Timestamp) -> Self {
+    pub(super) fn new(
+        observation: &EngineObservation,
+        own_in_flight: u32,
+        observed_at: Timestamp,
+    ) -> Self {
         Self {
             running: observation.running,
             waiting: observation.waiting,
             queued_tokens: observation.queued_tokens,
             own_in_flight,
-            at,
+            observed_at,
         }
     }
 
@@ -49,25 +53,25 @@
 
     /// Requests that wait now (estimate).
     pub(super) fn all_waiting(&self, now: Timestamp) -> f64 {
-        f64::from(self.waiting) * self.freshness(now)
+        f64::from(self.waiting) * self.decay_factor(now)
     }
 
     /// Requests of other processes that wait now (estimate).
-    pub(super) fn foreign_waiting(&self, now: Timestamp) -> f64 {
-        f64::from(self.waiting) * self.foreign_share() * self.freshness(now)
+    pub(super) fn other_routers_waiting(&self, now: Timestamp) -> f64 {
+        f64::from(self.waiting) * self.other_routers_share() * self.decay_factor(now)
     }
 
     /// Requests of other processes that run now (estimate).
-    pub(super) fn foreign_running(&self, now: Timestamp) -> f64 {
-        f64::from(self.running) * self.foreign_share() * self.freshness(now)
+    pub(super) fn other_routers_running(&self, now: Timestamp) -> f64 {
+        f64::from(self.running) * self.other_routers_share() * self.decay_factor(now)
     }
 
-    fn foreign_share(&self) -> f64 {
+    fn other_routers_share(&self) -> f64 {
         1.0 - self.own_share().unwrap_or(1.0)
     }
 
-    fn freshness(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
-        (-age / TIME_CONSTANT.as_secs_f64()).exp()
+    fn decay_factor(&self, now: Timestamp) -> f64 {
+        let age = now.since(self.observed_at).as_secs_f64();
+        (-age / LOAD_DECAY_TIME.as_secs_f64()).exp()
     }
 }
--- a/crates/core/src/dispatch/pool_state.rs
+++ b/crates/core/src/dispatch/pool_state.rs
@@ -12,13 +12,13 @@
 /// Weight of a new sample in the averages of a pool.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Tokens that a request misses in the cache, until measured.
-const FIRST_MEAN_MISSED: f64 = 1_000.0;
+const INITIAL_MEAN_UNCACHED_TOKENS: f64 = 1_000.0;
 /// Seconds that a request stays in an engine, until measured.
-const FIRST_RESIDENCE_SECONDS: f64 = 2.0;
+const INITIAL_RESIDENCE_SECONDS: f64 = 2.0;
 /// Share of an unknown prefix expected in the first engine in order, until measured.
-const FIRST_FOUND_SHARE: f64 = 0.9;
+const INITIAL_HIT_SHARE: f64 = 0.9;
 /// Smallest own share of an engine's load that is believed.
-const SMALLEST_SHARE: f64 = 0.001;
+const MIN_OWN_SHARE: f64 = 0.001;
 
 /// What the dispatcher knows of one pool: its back ends, its queue and its averages.
 #[derive(Debug)]
@@ -28,9 +28,9 @@
     pub(super) service_rate: ServiceRate,
     pub(super) prefill_speed: PrefillSpeed,
     /// Prompt tokens that a request had to compute.
-    pub(super) mean_missed: Smoothed,
+    pub(super) mean_uncached_tokens: Smoothed,
     /// Share of a prefix that other processes have sent to the first engine in order.
-    pub(super) found_share: FoundShare,
+    pub(super) cache_hit_estimate: FoundShare,
     residence_seconds: Smoothed,
     own_share: Smoothed,
 }
@@ -43,9 +43,9 @@
             queue: RequestQueue::new(parameters.queue),
             service_rate: ServiceRate::new(now),
             prefill_speed: PrefillSpeed::new(speed),
-            mean_missed: Smoothed::new(FIRST_MEAN_MISSED, SAMPLE_WEIGHT),
-            found_share: FoundShare::new(FIRST_FOUND_SHARE),
-            residence_seconds: Smoothed::new(FIRST_RESIDENCE_SECONDS, SAMPLE_WEIGHT),
+            mean_uncached_tokens: Smoothed::new(INITIAL_MEAN_UNCACHED_TOKENS, SAMPLE_WEIGHT),
+            cache_hit_estimate: FoundShare::new(INITIAL_HIT_SHARE),
+            residence_seconds: Smoothed::new(INITIAL_RESIDENCE_SECONDS, SAMPLE_WEIGHT),
             own_share: Smoothed::new(1.0, SAMPLE_WEIGHT),
         }
     }
@@ -64,7 +64,7 @@
     /// Requests at once over all processes, for a rate that this process sees.
     pub(super) fn concurrency(&self, own_requests_per_second: f64) -> f64 {
         let own = own_requests_per_second * self.residence_seconds.value();
-        own / self.own_share.value().max(SMALLEST_SHARE)
+        own / self.own_share.value().max(MIN_OWN_SHARE)
     }
 
     /// How long computing prompt tokens takes.
--- a/crates/core/src/dispatch/request_record.rs
+++ b/crates/core/src/dispatch/request_record.rs
@@ -24,15 +24,15 @@
     /// What is known over all attempts that have ended.
     pub(super) run_state: RunState,
     /// Back ends that failed it and are not asked again.
-    pub(super) failed: BTreeSet<EngineKey>,
+    pub(super) failed_engines: BTreeSet<EngineKey>,
     /// Chunks of the answer that reached the caller, over all attempts.
     pub(super) delivered_chunks: u64,
-    pub(super) running: Option<AttemptId>,
+    pub(super) running_attempt: Option<AttemptId>,
     /// When it came into the queue, while it waits there.
     pub(super) queued_at: Option<Timestamp>,
     /// When it is given up, and why, while it waits in the queue.
-    pub(super) give_up_at: Timestamp,
-    pub(super) give_up_reason: RefusalReason,
+    pub(super) expires_at: Timestamp,
+    pub(super) expiry_reason: RefusalReason,
 }
 
 impl RequestRecord {
@@ -45,12 +45,12 @@
             is_recurring: false,
             attempts_made: 0,
             run_state: RunState::NotRun,
-            failed: BTreeSet::new(),
+            failed_engines: BTreeSet::new(),
             delivered_chunks: 0,
-            running: None,
+            running_attempt: None,
             queued_at: None,
-            give_up_at: Timestamp::ZERO,
-            give_up_reason: RefusalReason::QueueFull,
+            expires_at: Timestamp::ZERO,
+            expiry_reason: RefusalReason::QueueFull,
         }
     }
 
@@ -65,17 +65,19 @@
     }
 
     /// Whether part of the answer has reached the caller.
-    pub(super) fn has_begun(&self) -> bool {
+    pub(super) fn has_delivered_chunks(&self) -> bool {
         self.delivered_chunks > 0
     }
 
     /// When its first token must have come; a begun stream has met its deadline.
     pub(super) fn first_token_deadline(&self) -> Option<Timestamp> {
-        self.profile.deadline.filter(|_| !self.has_begun())
+        self.profile
+            .deadline
+            .filter(|_| !self.has_delivered_chunks())
     }
 
     /// Takes what an ended attempt says of whether the request ran; knowledge only rises.
-    pub(super) fn note_run_state(&mut self, state: RunState) {
+    pub(super) fn record_run_state(&mut self, state: RunState) {
         self.run_state = match (self.run_state, state) {
             (RunState::Ran, _) | (_, RunState::Ran) => RunState::Ran,
             (RunState::Unknown, _) | (_, RunState::Unknown) => RunState::Unknown,
@@ -85,8 +87,9 @@
 
     /// Where an attempt on another back end starts.
     pub(super) fn continuation(&self) -> Option<ResumePoint> {
-        self.has_begun().then_some(ResumePoint::Continue {
-            delivered_chunks: self.delivered_chunks,
-        })
+        self.has_delivered_chunks()
+            .then_some(ResumePoint::Continue {
+                delivered_chunks: self.delivered_chunks,
+            })
     }
 }
--- a/crates/core/src/dispatch/sent_tokens.rs
+++ b/crates/core/src/dispatch/sent_tokens.rs
@@ -8,7 +8,7 @@
 use super::Priority;
 
 /// Sends older than this are forgotten.
-const MEMORY: Duration = Duration::from_secs(2);
+const SEND_RETENTION: Duration = Duration::from_secs(2);
 
 /// Prompt tokens to compute that this process has sent to an engine lately, to add them to what the
 /// engine told before them.
@@ -19,29 +19,29 @@
 
 impl SentTokens {
     pub(super) fn add(&mut self, priority: Priority, tokens: u32, now: Timestamp) {
-        let is_old = |at: Timestamp| now.since(at) > MEMORY;
+        let is_old = |at: Timestamp| now.since(at) > SEND_RETENTION;
         while self.sends.front().is_some_and(|(at, _, _)| is_old(*at)) {
             self.sends.pop_front();
         }
         self.sends.push_back((now, priority, tokens));
     }
 
-    /// Tokens sent after `told_at` that are computed before a new request's own; `None` when what
+    /// Tokens sent after `observed_at` that are computed before a new request's own; `None` when what
     /// was told is too old to add to.
     pub(super) fn since(
         &self,
-        told_at: Timestamp,
+        observed_at: Timestamp,
         priority: Priority,
         now: Timestamp,
     ) -> Option<f64> {
-        if now.since(told_at) > MEMORY {
+        if now.since(observed_at) > SEND_RETENTION {
             return None;
         }
         let newer = self
             .sends
             .iter()
             .rev()
-            .take_while(|(at, _, _)| *at > told_at);
+            .take_while(|(at, _, _)| *at > observed_at);
         let ahead = newer.filter(|(_, sent, _)| *sent >= priority);
         Some(ahead.map(|(_, _, tokens)| f64::from(*tokens)).sum())
     }
--- a/crates/core/src/dispatch/tenant_gate.rs
+++ b/crates/core/src/dispatch/tenant_limiter.rs
@@ -15,7 +15,7 @@
 
 /// Lets requests through while their tenants have tickets, and holds those that wait for some.
 #[derive(Debug)]
-pub(super) struct TenantGate {
+pub(super) struct TenantLimiter {
     borrower: LimitBorrower,
     settings: LimitSettings,
     waiting: BTreeMap<TenantName, VecDeque<RequestProfile>>,
@@ -24,7 +24,7 @@
     admitted: BTreeMap<RequestId, TenantName>,
 }
 
-impl TenantGate {
+impl TenantLimiter {
     pub fn new(node: NodeName, started_at: Timestamp, settings: LimitSettings) -> Self {
         Self {
             borrower: LimitBorrower::new(node, started_at, settings),
@@ -54,7 +54,7 @@
         push_sends(sends, actions);
         match decision {
             LimitDecision::Allowed => {
-                self.note_admitted(&profile);
+                self.record_admitted(&profile);
                 return Some(profile);
             }
             LimitDecision::Waiting if self.waiting_count < MAX_WAITING => {
@@ -117,7 +117,7 @@
     }
 
     /// Gives back the streams of requests that are over.
-    pub fn note_finished(&mut self, actions: &[DispatchAction]) {
+    pub fn record_finished(&mut self, actions: &[DispatchAction]) {
         for action in actions {
             if let DispatchAction::Finish { request, .. } = action
                 && let Some(tenant) = self.admitted.remove(request)
@@ -127,7 +127,7 @@
         }
     }
 
-    fn note_admitted(&mut self, profile: &RequestProfile) {
+    fn record_admitted(&mut self, profile: &RequestProfile) {
         self.admitted
             .insert(profile.request.clone(), profile.tenant.clone());
     }
@@ -156,7 +156,7 @@
             match decision {
                 LimitDecision::Allowed => {
                     self.waiting_count -= 1;
-                    self.note_admitted(&profile);
+                    self.record_admitted(&profile);
                     admitted.push(profile);
                 }
                 LimitDecision::Waiting => {
--- a/crates/core/tests/claim_support/mod.rs
+++ b/crates/core/tests/claim_support/mod.rs
@@ -6,8 +6,8 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::claim::{
-    ClaimClient, ClaimClientAction, ClaimClientEvent, ClaimId, ClaimKeeper, ClaimKeeperEvent,
-    ClaimMessage, ClaimOutcome, ClaimRoster, ClaimSend, ClaimSettings, KeeperGroup,
+    ClaimClient, ClaimClientAction, ClaimClientEvent, ClaimEnvelope, ClaimId, ClaimKeeper,
+    ClaimKeeperEvent, ClaimMessage, ClaimOutcome, ClaimRoster, ClaimSettings, KeeperGroup,
 };
 use ryerouter_core::identity::{IdempotencyKey, NodeName, RequestId, ResourceVersion, TenantName};
 
@@ -208,7 +208,7 @@
     }
 }
 
-fn envelope(from: usize, send: ClaimSend) -> Envelope {
+fn envelope(from: usize, send: ClaimEnvelope) -> Envelope {
     Envelope {
         from,
         to: index_of(&send.to),
--- a/crates/core/tests/claim_world/mod.rs
+++ b/crates/core/tests/claim_world/mod.rs
@@ -149,12 +149,12 @@
     pub fn settings() -> ClaimSettings {
         ClaimSettings {
             lifetime: Duration::from_secs(100),
-            plain_lifetime: Duration::from_secs(20),
+            opaque_key_lifetime: Duration::from_secs(20),
             clock_tolerance: Duration::from_secs(1),
             vote_timeout: Duration::from_millis(500),
             grant_validity: Duration::from_secs(5),
             release_interval: Duration::from_millis(500),
-            release_sends: 3,
+            max_release_sends: 3,
             retry_after: Duration::from_secs(1),
             keeper_capacity: 1_000,
         }
@@ -164,10 +164,10 @@
         KeeperPlannerSettings {
             group_size: KEEPERS,
             max_groups: 1,
-            founding_delay: Duration::from_secs(3),
-            founding_wait: Duration::from_secs(10),
+            bootstrap_quiet_period: Duration::from_secs(3),
+            bootstrap_max_wait: Duration::from_secs(10),
             replace_after: Duration::from_secs(1),
-            lost_after: Duration::from_secs(4),
+            recreate_after: Duration::from_secs(4),
             confirm_interval: Duration::from_millis(100),
             proposal_timeout: Duration::from_millis(100),
         }
@@ -183,7 +183,7 @@
         for (key, times) in &self.executions {
             for pair in times.windows(2) {
                 let apart = pair[1].since(pair[0]);
-                if issued_at(key).is_some() || apart < Self::settings().plain_lifetime {
+                if issued_at(key).is_some() || apart < Self::settings().opaque_key_lifetime {
                     return Some(format!("key {key} submitted at {pair:?} ran twice"));
                 }
             }
@@ -224,7 +224,7 @@
         let settings = Self::settings();
         let mut keeper_settings = settings;
         if self.fault == Some(Fault::ForgetfulKeeperVotes) {
-            keeper_settings.plain_lifetime = Duration::ZERO;
+            keeper_settings.opaque_key_lifetime = Duration::ZERO;
             keeper_settings.clock_tolerance = Duration::ZERO;
         }
         Process {
--- a/crates/core/tests/dispatch_admission.rs
+++ b/crates/core/tests/dispatch_admission.rs
@@ -160,7 +160,7 @@
     let mut fixture = Fixture::new(1);
     let running = fill(&mut fixture, Priority::Batch);
     let waiting = RequestId::new(format!("Batch-{}", running.len()));
-    let actions = fixture.handle(DispatchEvent::CallerLeft { request: waiting });
+    let actions = fixture.handle(DispatchEvent::CallerDisconnected { request: waiting });
     assert_eq!(finished(&actions), FinalOutcome::Cancelled);
     let actions = fixture.end(running[0].attempt, AttemptOutcome::Completed);
     assert_eq!(finished(&actions), FinalOutcome::Completed);
--- a/crates/core/tests/dispatch_attempts.rs
+++ b/crates/core/tests/dispatch_attempts.rs
@@ -194,7 +194,7 @@
     let profile = fixture.profile("r", "a", &["style"]);
     let attempt = started(&fixture.submit(profile)).attempt;
     let request = RequestId::new("r");
-    let actions = fixture.handle(DispatchEvent::CallerLeft {
+    let actions = fixture.handle(DispatchEvent::CallerDisconnected {
         request: request.clone(),
     });
     assert_eq!(
--- a/crates/core/tests/dispatch_failures.rs
+++ b/crates/core/tests/dispatch_failures.rs
@@ -103,7 +103,7 @@
     fixture.submit(probe);
     let waiting = lot_profile(&fixture, "waiting");
     fixture.submit(waiting);
-    fixture.handle(DispatchEvent::CallerLeft {
+    fixture.handle(DispatchEvent::CallerDisconnected {
         request: RequestId::new("marked"),
     });
     let probes = all_started(&fixture.advance(Duration::from_millis(300)));
@@ -285,7 +285,7 @@
                 }
                 Step::CallerLeaves { which } if !submitted.is_empty() => {
                     let request = submitted[which % submitted.len()].clone();
-                    fixture.handle(DispatchEvent::CallerLeft { request })
+                    fixture.handle(DispatchEvent::CallerDisconnected { request })
                 }
                 Step::Leave { which } => {
                     fixture.snapshot.leaving = BTreeSet::from([names[which].clone()]);
--- a/crates/core/tests/dispatch_limits.rs
+++ b/crates/core/tests/dispatch_limits.rs
@@ -150,7 +150,7 @@
     let mut fixture = limited();
     let sends = asks(&submit(&mut fixture, "first", TENANT));
     let request = RequestId::new("first");
-    let actions = fixture.handle(DispatchEvent::CallerLeft { request });
+    let actions = fixture.handle(DispatchEvent::CallerDisconnected { request });
     assert!(matches!(
         actions[..],
         [DispatchAction::Finish {
--- a/crates/core/tests/dispatch_placement.rs
+++ b/crates/core/tests/dispatch_placement.rs
@@ -399,7 +399,7 @@
     let on = DispatchMechanisms::default();
     let variants = [
         DispatchMechanisms {
-            cache_knowledge: false,
+            cache_directory: false,
             ..on
         },
         DispatchMechanisms {
--- a/crates/node/src/peer/stream_links_tests.rs
+++ b/crates/node/src/peer/stream_links_tests.rs
@@ -207,7 +207,7 @@
 #[test]
 fn a_release_is_sent_for_longer_than_a_silent_stream_is_believed() {
     let claims = ClaimSettings::default();
-    let sent_for = claims.release_interval * claims.release_sends;
+    let sent_for = claims.release_interval * claims.max_release_sends;
     let believed_for = StreamLimits::default().confirm_after + CONNECT_TIMEOUT;
     assert!(
         sent_for > believed_for,
--- a/crates/node/src/traffic/request_session.rs
+++ b/crates/node/src/traffic/request_session.rs
@@ -213,7 +213,7 @@
 
     /// Ends the request for the dispatcher although it wants to go on.
     pub(crate) fn abandon(&mut self) {
-        let event = DispatchEvent::CallerLeft {
+        let event = DispatchEvent::CallerDisconnected {
             request: self.request.clone(),
         };
         self.context.dispatch.handle(event);
--- a/crates/testbed/src/compare/ablation.rs
+++ b/crates/testbed/src/compare/ablation.rs
@@ -23,7 +23,7 @@
     },
     Variant {
         name: "no cache knowledge",
-        switch: |mechanisms| mechanisms.cache_knowledge = false,
+        switch: |mechanisms| mechanisms.cache_directory = false,
     },
     Variant {
         name: "no prefix widths",
--- a/crates/testbed/src/simulation/cluster_callers.rs
+++ b/crates/testbed/src/simulation/cluster_callers.rs
@@ -159,7 +159,7 @@
         self.leave_claim(process, submission);
         self.close_submission(submission);
         let request = request_id(submission);
-        self.dispatch(process, DispatchEvent::CallerLeft { request });
+        self.dispatch(process, DispatchEvent::CallerDisconnected { request });
     }
 
     /// Forgets a submission whose caller has got its last word.
--- a/crates/wire/tests/peer_codec.rs
+++ b/crates/wire/tests/peer_codec.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use ryerouter_core::Timestamp;
-use ryerouter_core::claim::{ClaimAsk, ClaimId, ClaimMessage, KeyDigest};
+use ryerouter_core::claim::{ClaimId, ClaimMessage, KeyDigest, VoteRequest};
 use ryerouter_core::config::ConfigMessage;
 use ryerouter_core::control::PeerMessage;
 use ryerouter_core::identity::{BackEndName, ConfigVersion, Incarnation, NodeName};
@@ -46,7 +46,7 @@
     let numbers = (any::<u64>(), any::<u128>(), any::<u64>(), any::<u64>());
     (name(), numbers).prop_map(|(from, (claim, digest, epoch, time))| PeerMessage::Claim {
         from: NodeName::new(from),
-        message: ClaimMessage::Ask(ClaimAsk {
+        message: ClaimMessage::Ask(VoteRequest {
             claim: ClaimId(claim),
             digest: KeyDigest(digest),
             issued_at: (time % 2 == 0).then_some(Timestamp::from_micros(time)),
