--- a/crates/core/src/claim/claim_client.rs
+++ b/crates/core/src/claim/claim_client.rs
@@ -94,7 +94,7 @@
     ) {
         let issued_at = issued_at(key);
         let digest = KeyDigest::of(tenant, key);
-        let decided = self.decide_from_issue_time(issued_at, now);
+        let decided = self.decide_by_age(issued_at, now);
         let group = self.roster.group_of(digest).cloned();
         let (Some(group), None) = (group, decided) else {
             let outcome = decided.unwrap_or(self.unavailable(self.settings.retry_after));
@@ -123,11 +123,7 @@
     }
 
     /// The outcome that follows from the key's issue time alone.
-    fn decide_from_issue_time(
-        &self,
-        issued_at: Option<Timestamp>,
-        now: Timestamp,
-    ) -> Option<ClaimOutcome> {
+    fn decide_by_age(&self, issued_at: Option<Timestamp>, now: Timestamp) -> Option<ClaimOutcome> {
         let issued_at = issued_at?;
         if issued_at < now.before(self.settings.lifetime) {
             return Some(ClaimOutcome::KeyExpired);
--- a/crates/core/src/claim/claim_keeper.rs
+++ b/crates/core/src/claim/claim_keeper.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy)]
 struct StoredClaim {
     claim: ClaimId,
-    expires_after_second: u32,
+    forget_after_second: u32,
 }
 
 /// Remembers, in memory only, which claim holds which key.
@@ -250,11 +250,11 @@
             .get(&digest)
             .into_iter()
             .chain(conflicting_claims)
-            .filter(|record| record.expires_after_second == second)
+            .filter(|record| record.forget_after_second == second)
             .map(|record| ClaimRecord {
                 digest,
                 claim: record.claim,
-                expires_after_second: second,
+                forget_after_second: second,
             })
             .collect()
     }
@@ -296,14 +296,14 @@
     fn merge_copied(&mut self, claim: &ClaimRecord) {
         let record = StoredClaim {
             claim: claim.claim,
-            expires_after_second: claim.expires_after_second,
+            forget_after_second: claim.forget_after_second,
         };
-        self.expiry.push(record.expires_after_second, claim.digest);
+        self.expiry.push(record.forget_after_second, claim.digest);
         let Some(known) = self.records.get_mut(&claim.digest) else {
             self.records.insert(claim.digest, record);
             return;
         };
-        known.expires_after_second = known.expires_after_second.max(record.expires_after_second);
+        known.forget_after_second = known.forget_after_second.max(record.forget_after_second);
         let conflicting_claims = self.conflicting_claims.get(&claim.digest);
         let is_known = known.claim == record.claim
             || conflicting_claims.is_some_and(|conflicting_claims| {
@@ -404,9 +404,9 @@
             .after(self.settings.clock_tolerance);
         let record = StoredClaim {
             claim: ask.claim,
-            expires_after_second: second_of(stored_until),
+            forget_after_second: second_of(stored_until),
         };
-        self.expiry.push(record.expires_after_second, ask.digest);
+        self.expiry.push(record.forget_after_second, ask.digest);
         self.records.insert(ask.digest, record);
     }
 
@@ -443,7 +443,7 @@
         let expired = self
             .records
             .get(&digest)
-            .is_some_and(|record| record.expires_after_second < second);
+            .is_some_and(|record| record.forget_after_second < second);
         if expired {
             self.records.remove(&digest);
             self.conflicting_claims.remove(&digest);
--- a/crates/core/src/claim/claim_record.rs
+++ b/crates/core/src/claim/claim_record.rs
@@ -15,5 +15,5 @@
     pub claim: ClaimId,
     /// The second after which it may be forgotten.
     #[serde(rename = "t")]
-    pub expires_after_second: u32,
+    pub forget_after_second: u32,
 }
--- a/crates/core/src/dispatch/observed_load.rs
+++ b/crates/core/src/dispatch/observed_load.rs
@@ -21,17 +21,13 @@
 }
 
 impl ObservedLoad {
-    pub(super) fn new(
-        observation: &EngineObservation,
-        own_in_flight: u32,
-        observed_at: Timestamp,
-    ) -> Self {
+    pub(super) fn new(observation: &EngineObservation, own_in_flight: u32, at: Timestamp) -> Self {
         Self {
             running: observation.running,
             waiting: observation.waiting,
             queued_tokens: observation.queued_tokens,
             own_in_flight,
-            observed_at,
+            observed_at: at,
         }
     }
 
