--- a/crates/core/src/dispatch/choice.rs
+++ b/crates/core/src/dispatch/choice.rs
@@ -24,7 +24,7 @@
 
 /// Why no engine could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ChoiceError {
+pub(super) enum NoChoice {
     /// Engines serve, but none has room.
     NoRoom {
         /// Least estimated time to the first token, had there been room.
@@ -36,7 +36,7 @@
     NoEngine,
 }
 
-impl ChoiceError {
+impl NoChoice {
     /// The more hopeful of two.
     pub(super) fn or(self, other: Self) -> Self {
         match (self, other) {
--- a/crates/core/src/dispatch/dispatcher/placing.rs
+++ b/crates/core/src/dispatch/dispatcher/placing.rs
@@ -1,6 +1,6 @@
 //! Finding an engine for a request.
 
-use crate::dispatch::choice::{Choice, ChoiceError};
+use crate::dispatch::choice::{Choice, NoChoice};
 use crate::dispatch::engine_chooser::EngineChooser;
 use crate::dispatch::request_record::RequestRecord;
 use crate::dispatch::{DispatchAction, Priority, RefusalReason};
@@ -20,10 +20,10 @@
     ) {
         match self.choose(&request, now) {
             Ok(choice) => self.start_unless_late(request, choice, now, actions),
-            Err(ChoiceError::NoRoom { first_token_in }) => {
+            Err(NoChoice::NoRoom { first_token_in }) => {
                 self.enqueue(request, first_token_in, now, actions);
             }
-            Err(ChoiceError::Unavailable { until }) => {
+            Err(NoChoice::Unavailable { until }) => {
                 let wait = until.since(now);
                 if wait <= self.parameters.max_unavailable_wait {
                     self.enqueue(request, wait, now, actions);
@@ -31,7 +31,7 @@
                     self.refuse(request, RefusalReason::NoBackEnd, wait, actions);
                 }
             }
-            Err(ChoiceError::NoEngine) => self.refuse_without_engine(request, actions),
+            Err(NoChoice::NoEngine) => self.refuse_without_engine(request, actions),
         }
     }
 
@@ -55,11 +55,7 @@
         self.start(request, choice, resume, now, actions);
     }
 
-    pub(super) fn choose(
-        &self,
-        request: &RequestId,
-        now: Timestamp,
-    ) -> Result<Choice, ChoiceError> {
+    pub(super) fn choose(&self, request: &RequestId, now: Timestamp) -> Result<Choice, NoChoice> {
         let record = &self.requests[request];
         let pool = &self.pools[&record.profile.pool];
         let configured = self.snapshot.catalog.pools.get(&record.profile.pool);
--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::admission::QueuedRequest;
-use crate::dispatch::choice::{Choice, ChoiceError};
+use crate::dispatch::choice::{Choice, NoChoice};
 use crate::dispatch::{DispatchAction, RefusalReason};
 use crate::identity::{PoolName, RequestId};
 use crate::timestamp::Timestamp;
@@ -149,11 +149,11 @@
         &self,
         request: &RequestId,
         now: Timestamp,
-    ) -> Option<Result<Choice, ChoiceError>> {
+    ) -> Option<Result<Choice, NoChoice>> {
         let max_wait = self.parameters.max_unavailable_wait;
         match self.choose(request, now) {
-            Err(ChoiceError::NoRoom { .. }) => None,
-            Err(ChoiceError::Unavailable { until }) if until.since(now) <= max_wait => None,
+            Err(NoChoice::NoRoom { .. }) => None,
+            Err(NoChoice::Unavailable { until }) if until.since(now) <= max_wait => None,
             choice => Some(choice),
         }
     }
@@ -162,14 +162,14 @@
     fn start_dequeued(
         &mut self,
         request: RequestId,
-        choice: Result<Choice, ChoiceError>,
+        choice: Result<Choice, NoChoice>,
         now: Timestamp,
         actions: &mut Vec<DispatchAction>,
     ) {
         self.remove_queue_expiry(&request);
         match choice {
             Ok(choice) => self.start_unless_late(request, choice, now, actions),
-            Err(ChoiceError::Unavailable { until }) => {
+            Err(NoChoice::Unavailable { until }) => {
                 self.refuse(request, RefusalReason::NoBackEnd, until.since(now), actions);
             }
             Err(_) => self.refuse_without_engine(request, actions),
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -12,7 +12,7 @@
 
 use super::attempt_record::{Expectation, UncertainRange};
 use super::candidate::Candidate;
-use super::choice::{Choice, ChoiceError};
+use super::choice::{Choice, NoChoice};
 use super::engine_record::EngineRecord;
 use super::engine_table::EngineTable;
 use super::exported_prefixes::ExportedPrefixes;
@@ -49,8 +49,8 @@
         record: &RequestRecord,
         priority: Priority,
         groups: &[Vec<DataCentreName>],
-    ) -> Result<Choice, ChoiceError> {
-        let mut error = ChoiceError::NoEngine;
+    ) -> Result<Choice, NoChoice> {
+        let mut error = NoChoice::NoEngine;
         for data_centres in groups {
             match self.choose_in(data_centres, record, priority) {
                 Ok(choice) => return Ok(choice),
@@ -65,7 +65,7 @@
         data_centres: &[DataCentreName],
         record: &RequestRecord,
         priority: Priority,
-    ) -> Result<Choice, ChoiceError> {
+    ) -> Result<Choice, NoChoice> {
         let index = &self.pool.index;
         let members = index.members();
         let positions: Vec<usize> = index.positions_in(data_centres).collect();
@@ -133,7 +133,7 @@
         let in_group = index
             .positions_in(data_centres)
             .map(|position| &members[position]);
-        Err(self.choice_error(in_group, &candidates, record))
+        Err(self.no_choice(in_group, &candidates, record))
     }
 
     /// The cheapest candidate with room, of those that meet the deadline where any does.
@@ -161,26 +161,24 @@
             })
     }
 
-    fn choice_error<'b>(
+    fn no_choice<'b>(
         &self,
         members: impl Iterator<Item = &'b PoolMember>,
         candidates: &[Candidate<'_>],
         record: &RequestRecord,
-    ) -> ChoiceError {
+    ) -> NoChoice {
         let fastest = candidates
             .iter()
             .map(|candidate| candidate.first_token_in)
             .min();
         if let Some(first_token_in) = fastest {
-            return ChoiceError::NoRoom { first_token_in };
+            return NoChoice::NoRoom { first_token_in };
         }
         members
             .filter(|member| !record.failed_engines.contains(&member.key))
             .filter_map(|member| self.available_at(member, record))
             .min()
-            .map_or(ChoiceError::NoEngine, |until| ChoiceError::Unavailable {
-                until,
-            })
+            .map_or(NoChoice::NoEngine, |until| NoChoice::Unavailable { until })
     }
 
     /// When an engine that does not serve now may be asked again.
