--- a/crates/core/src/dispatch/assignment.rs
+++ b/crates/core/src/dispatch/assignment.rs
@@ -1,4 +1,4 @@
-//! An attempt to make.
+//! An attempt to start.
 
 use std::net::SocketAddr;
 
@@ -8,31 +8,31 @@
 
 use super::{KvExport, KvImport, ResumePoint};
 
-/// An attempt to make, with everything the engine link needs.
+/// An attempt to start, with everything needed to send it to its back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// The attempt, which the back end must echo.
+    /// Id of the attempt, which the back end must echo.
     pub attempt: AttemptId,
-    /// Which attempt of the request this is, from 1.
+    /// Number of the attempt within the request, from 1.
     pub number: u32,
     /// The back end.
     pub back_end: BackEndName,
-    /// Where it listens.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the back end.
     pub data_centre: DataCentreName,
-    /// Its zone.
+    /// Zone of the back end.
     pub zone: ZoneName,
-    /// The incarnation it must have, once one is known.
+    /// Incarnation that the back end must have; `None` while none is known.
     pub incarnation: Option<Incarnation>,
-    /// The weights it must serve; `None` for plain services.
+    /// Weights version that the back end must serve; `None` for service pools.
     pub weights_version: Option<WeightsVersion>,
-    /// Prompt tokens expected in its cache.
+    /// Prompt tokens expected in the back end's cache.
     pub expected_cached_tokens: u32,
-    /// Kept KV cache to import first.
+    /// KV cache to import before prefill.
     pub kv_import: Option<KvImport>,
-    /// KV cache to keep in the KV store afterwards.
+    /// KV cache to export to the KV store after prefill.
     pub kv_export: Option<KvExport>,
-    /// Where a broken stream goes on.
+    /// Where to resume an interrupted stream.
     pub resume: Option<ResumePoint>,
 }
--- a/crates/core/src/dispatch/attempt_record.rs
+++ b/crates/core/src/dispatch/attempt_record.rs
@@ -1,4 +1,4 @@
-//! A running attempt.
+//! State of a running attempt.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use super::Priority;
 
-/// An attempt that has started and not ended.
+/// State of an attempt that has started and not ended.
 #[derive(Debug)]
 pub(super) struct AttemptRecord {
     pub(super) request: RequestId,
@@ -18,55 +18,58 @@
     pub(super) engine: EngineKey,
     pub(super) priority: Priority,
     pub(super) started_at: Timestamp,
-    /// Time to the first token, once it has come.
+    /// Time to first token, once it has arrived.
     pub(super) first_token_after: Option<Duration>,
-    /// The incarnation that serves it, once its answer has told.
+    /// Incarnation that serves the attempt: the one required at the start, then the one that
+    /// answered.
     pub(super) incarnation: Option<Incarnation>,
-    /// The attempt whose stream this one reads on, if it does.
+    /// The attempt whose stream this one resumes, if any.
     pub(super) resumes: Option<AttemptId>,
-    /// Whether it finds out if an ejected engine is back.
+    /// Whether the attempt probes an ejected engine.
     pub(super) is_probe: bool,
-    /// What its choice was founded on.
+    /// Estimates on which the choice of the engine was based.
     pub(super) expectation: Expectation,
 }
 
-/// The part of a shared prefix of which this process does not know whether an engine holds it.
+/// Token range of a shared prefix of which this process does not know whether an engine caches it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UncertainRange {
     pub(super) priority: Priority,
-    /// Tokens that are known or taken to be held.
+    /// First token of the range: tokens before it are known or assumed to be cached.
     pub(super) start: f64,
-    /// Tokens of the whole shared prefix.
+    /// End of the shared prefix.
     pub(super) end: f64,
 }
 
 impl UncertainRange {
-    /// Tokens of the unknown part.
+    /// Length of the range in tokens.
     pub(super) fn tokens(&self) -> f64 {
         self.end - self.start
     }
 
-    /// Share of the unknown part that was found when `cached` tokens were.
+    /// Share of the range that was found in the cache when `cached` tokens of the prompt were.
     pub(super) fn hit_share(&self, cached: u32) -> f64 {
         (f64::from(cached) - self.start) / self.tokens()
     }
 }
 
-/// What the choice of an engine was founded on, to learn from how it came out.
+/// Estimates on which the choice of an engine was based; compared with the result to improve later
+/// ones.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Expectation {
-    /// Prompt tokens expected in the cache because this process sent them there.
+    /// Prompt tokens expected in the cache because this process sent them to the engine.
     pub(super) known_cached: u32,
-    /// How long ago, and in which life of the cache.
+    /// Time since they were last used there, and the cache generation.
     pub(super) known_age: Option<(Duration, CacheEpoch)>,
-    /// The part of the shared prefix of which nothing was known, in the first engine in order.
+    /// Token range of the shared prefix that other processes may have sent there; set only for the
+    /// first engine in candidate order.
     pub(super) uncertain_range: Option<UncertainRange>,
     /// Prompt tokens expected to be computed.
     pub(super) uncached_tokens: u32,
-    /// Prompt tokens to be computed before its own.
+    /// Prompt tokens that the engine computes before those of the request.
     pub(super) tokens_ahead: f64,
-    /// Prefix and tokens it imports.
+    /// Imported prefix and its length in tokens.
     pub(super) imported: Option<(BlockHash, u32)>,
-    /// Prefix it exports.
+    /// Exported prefix.
     pub(super) exported: Option<BlockHash>,
 }
--- a/crates/core/src/dispatch/candidate.rs
+++ b/crates/core/src/dispatch/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate for a request.
+//! A candidate engine for a request.
 
 use std::time::Duration;
 
@@ -7,16 +7,17 @@
 
 use super::attempt_record::Expectation;
 
-/// An engine that could serve a request, and what that would cost.
+/// An engine that could serve a request, with its estimated cost.
 #[derive(Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) member: &'a PoolMember,
     pub(super) is_probe: bool,
     pub(super) has_room: bool,
-    /// Cost in prompt tokens to compute: those ahead, its own, and the price of recomputation.
+    /// Cost in prompt tokens to compute: queued tokens, those of the request, latency, import,
+    /// occupied KV memory and the extra cost of recomputation.
     pub(super) cost: f64,
     pub(super) first_token_in: Duration,
-    /// Prefix and tokens to import first.
+    /// Prefix to import before prefill, and its length in tokens.
     pub(super) import: Option<(BlockHash, u32)>,
     pub(super) expectation: Expectation,
 }
--- a/crates/core/src/dispatch/choice.rs
+++ b/crates/core/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an engine for a request.
+//! Result of the selection of an engine for a request.
 
 use std::time::Duration;
 
@@ -25,19 +25,19 @@
 /// Why no engine could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NoChoice {
-    /// Engines serve, but none has room.
+    /// Engines are serving, but none has room.
     NoRoom {
-        /// Least estimated time to the first token, had there been room.
+        /// Lowest estimated time to first token among these engines, if they had room.
         first_token_in: Duration,
     },
-    /// Engines exist, but none serves; the first may be asked again at `until`.
+    /// Engines exist, but none is serving; the first one may be tried again at `until`.
     Unavailable { until: Timestamp },
-    /// No engine is left that could serve it.
+    /// No engine is left that could serve the request.
     NoEngine,
 }
 
 impl NoChoice {
-    /// The more hopeful of two.
+    /// Combines the results of two groups of engines, keeping the one that allows an earlier retry.
     pub(super) fn or(self, other: Self) -> Self {
         match (self, other) {
             (Self::NoRoom { .. }, _) => self,
--- a/crates/core/src/dispatch/dispatch_action.rs
+++ b/crates/core/src/dispatch/dispatch_action.rs
@@ -1,14 +1,14 @@
-//! What a dispatcher wants done.
+//! Actions of the dispatcher.
 
 use crate::identity::{AttemptId, RequestId};
 use crate::limit::LimitSend;
 
 use super::{Assignment, FinalOutcome};
 
-/// What a dispatcher wants done.
+/// Actions that a [`super::Dispatcher`] requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DispatchAction {
-    /// Make an attempt.
+    /// Start an attempt.
     Start {
         /// The request.
         request: RequestId,
@@ -20,13 +20,13 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Send a message about a tenant's limit to another router process.
+    /// Send a tenant limit message to another router process.
     SendLimit(LimitSend),
-    /// The request is over; give the caller its final answer at once.
+    /// The request has ended; send the final answer to the caller immediately.
     Finish {
         /// The request.
         request: RequestId,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: FinalOutcome,
     },
 }
--- a/crates/core/src/dispatch/dispatch_event.rs
+++ b/crates/core/src/dispatch/dispatch_event.rs
@@ -1,4 +1,4 @@
-//! What happens to a dispatcher.
+//! Events of the dispatcher.
 
 use std::sync::Arc;
 
@@ -7,17 +7,16 @@
 
 use super::{AttemptOutcome, EngineObservation, RequestProfile, RoutingSnapshot};
 
-/// What happens to a dispatcher.
+/// Events that a [`super::Dispatcher`] handles.
 #[derive(Debug, Clone)]
 pub enum DispatchEvent {
-    /// A request arrived. Its id must differ from those of all requests that have not ended; one
-    /// that does not is refused.
+    /// A request arrived. It is refused if another request with the same id has not ended.
     Submitted(Box<RequestProfile>),
     /// The head of an answer arrived.
     AnswerStarted {
         /// The attempt.
         attempt: AttemptId,
-        /// What the head says of the back end.
+        /// State of the back end as stated in the head.
         observation: EngineObservation,
     },
     /// The first token of an answer arrived.
@@ -29,32 +28,32 @@
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// What the answer said of the back end, if there was one.
+        /// State of the back end as stated in the answer, if there was one.
         observation: Option<EngineObservation>,
     },
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft {
         /// The request.
         request: RequestId,
     },
-    /// A load report of a back end arrived; it lags.
+    /// A load report of a back end arrived; it is older than an answer received now.
     LoadReported {
         /// The back end.
         back_end: BackEndName,
-        /// What it reports.
+        /// The reported state.
         observation: EngineObservation,
     },
-    /// The control thread published a new snapshot.
+    /// The control thread published a new routing snapshot.
     SnapshotPublished(Arc<RoutingSnapshot>),
-    /// A bank granted tickets of a tenant's limit.
+    /// An allocator granted permits of a tenant's limit.
     LimitGranted {
-        /// The bank's process.
+        /// Node of the allocator.
         from: NodeName,
-        /// The tickets.
+        /// The granted permits.
         grant: LimitGrant,
     },
-    /// Time passed; due about every 10 ms while requests wait.
+    /// Timer tick; expected about every 10 ms while requests are queued.
     Tick,
 }
--- a/crates/core/src/dispatch/dispatch_mechanisms.rs
+++ b/crates/core/src/dispatch/dispatch_mechanisms.rs
@@ -1,21 +1,23 @@
-//! Mechanisms of the dispatcher that can be switched off.
+//! Mechanisms of the dispatcher that can be disabled.
 
-/// Mechanisms that can be switched off one by one, to measure what each is worth.
+/// Mechanisms that can be disabled individually, to measure the benefit of each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DispatchMechanisms {
-    /// Remembers which engines were given which prefixes.
+    /// Tracks which engines were sent which prefixes.
     pub cache_directory: bool,
-    /// Spreads a prefix over as many engines as its load needs, and keeps a thin one together.
+    /// Limits each prefix to as many engines as its request rate needs.
     pub prefix_widths: bool,
-    /// Expects the first engine in order to hold what other processes gave it.
+    /// Expects the first engine in candidate order to cache prefixes that other processes sent
+    /// there.
     pub cache_prior: bool,
-    /// Counts recomputation as a cost to others beyond the wait for the first token.
+    /// Adds a cost to recomputation beyond its time to first token, because it delays other
+    /// requests.
     pub recompute_price: bool,
-    /// Bounds the requests of this process in each engine.
+    /// Limits the number of this process's requests in each engine.
     pub engine_windows: bool,
     /// Exports KV cache to the pool's KV store and imports it from there.
     pub kv_store: bool,
-    /// Leaves engines alone for a while after failures.
+    /// Sends no requests to an engine for a while after failures.
     pub ejection: bool,
 }
 
--- a/crates/core/src/dispatch/dispatch_parameters.rs
+++ b/crates/core/src/dispatch/dispatch_parameters.rs
@@ -5,76 +5,84 @@
 use super::{DispatchMechanisms, Priority};
 use crate::admission::QueueLimits;
 
-/// Parameters of the dispatcher, with defaults that fit both a handful and thousands of engines.
+/// Parameters of the dispatcher; the defaults suit deployments from a handful to thousands of
+/// engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatchParameters {
-    /// What is switched on.
+    /// Enabled mechanisms.
     pub mechanisms: DispatchMechanisms,
-    /// Most attempts for one request, resumed streams included.
+    /// Maximum number of attempts per request, including resumed streams.
     pub max_attempts: u32,
-    /// When a caller may come back after a refusal for want of a back end.
+    /// Time after which a caller may retry when no back end was available.
     pub no_back_end_retry_after: Duration,
-    /// How long a request waits for engines that are all ejected before it is refused.
+    /// When no engine serves now, a request is queued if one can be tried again within this time;
+    /// else it is refused.
     pub max_unavailable_wait: Duration,
-    /// Bounds of the queue of each pool.
+    /// Limits of each pool's queue.
     pub queue: QueueLimits,
-    /// Longest wait of an interactive request in the queue.
+    /// Maximum time an interactive request waits in the queue.
     pub interactive_queue_wait: Duration,
-    /// Longest wait of a batch request in the queue.
+    /// Maximum time a batch request waits in the queue.
     pub batch_queue_wait: Duration,
-    /// A request is refused when its deadline passes before this share of the estimated time to
-    /// its first token: then it certainly cannot be met.
+    /// A request is refused early only if its deadline lies before this share of the estimated time
+    /// to first token, so that an estimate that is too high refuses no request that could be
+    /// served.
     pub optimistic_wait_share: f64,
-    /// Share that counts as cached everywhere of a prefix that many engines are known to hold.
+    /// Share of a widely cached prefix that is expected in the cache of every engine.
     pub widely_cached_credit: f64,
-    /// How many engines that is.
+    /// A prefix known to be cached by this many engines counts as widely cached.
     pub widely_cached_min_engines: usize,
-    /// Prompt tokens an engine computes a second, until it has been measured.
+    /// Prefill speed in prompt tokens per second, until it has been measured.
     pub prefill_tokens_per_second: f64,
-    /// Tokens to compute that weigh as much as the KV memory of one request that runs in an engine.
+    /// Cost, in prompt tokens to compute, of the KV memory that one running request occupies.
     pub tokens_per_running_request: f64,
-    /// The same for one that waits in an engine: it waits for memory, or for its prompt's turn.
+    /// Cost, in prompt tokens to compute, of one request waiting in an engine for memory or
+    /// prefill.
     pub tokens_per_waiting_request: f64,
-    /// Most waiting requests of an engine that are counted so.
+    /// Maximum number of waiting requests per engine that add to its cost.
     pub max_waiting_counted: f64,
-    /// Requests of one prefix at once that one engine should serve.
+    /// Target number of concurrent requests of one prefix per engine.
     pub requests_per_engine: f64,
-    /// Prefixes remembered in each generation of each table.
+    /// Prefixes stored in each generation of each table.
     pub remembered_prefixes: usize,
     /// Time constant of the request rate of a prefix.
     pub request_rate_time_constant: Duration,
-    /// For so long after its first request a process knows too little of rates to narrow prefixes.
+    /// Time after the first request during which prefixes may use any engine, because request rates
+    /// are not yet known well enough to limit them to fewer.
     pub warm_up: Duration,
-    /// Engines in order whose time to the first token is estimated, besides known holders.
+    /// Engines, in candidate order, whose cost is estimated in addition to known holders of a
+    /// prefix.
     pub scored_candidates: usize,
-    /// Engines in order that are tried when those have no room.
+    /// Length of the candidate order: further engines in it are tried when those above have no
+    /// room.
     pub candidate_limit: usize,
-    /// Price of a recomputed token, on top of the time it takes, for interactive work.
+    /// Extra cost per recomputed token of an interactive request, on top of the computing time.
     pub interactive_recompute_price: f64,
-    /// The same for batch work, which can wait for the engine that holds its prefix.
+    /// Extra cost per recomputed token of a batch request, which can wait for the engine that
+    /// caches its prefix.
     pub batch_recompute_price: f64,
-    /// Requests that may wait in an engine before its window shrinks.
+    /// Requests waiting in an engine above which its window shrinks.
     pub waiting_threshold: u32,
-    /// How long a cache is expected to keep an unused prefix, until it has been measured.
+    /// Expected time a cache retains an unused prefix, until it has been measured.
     pub retention: Duration,
-    /// Extra time to the first token from another zone.
+    /// Extra time to first token from an engine in another zone.
     pub zone_latency: Duration,
-    /// The same from another data centre, until it has been measured.
+    /// Extra time to first token from an engine in another data centre, until it has been measured.
     pub data_centre_latency: Duration,
-    /// Data centres up to this distance count as one where no migration stage decides.
+    /// Data centres up to this latency are treated as one where no migration stage applies.
     pub near_data_centre_latency: Duration,
-    /// Time an import takes before its first byte.
+    /// Latency of a KV import before its first byte.
     pub kv_import_latency: Duration,
-    /// Tokens of KV cache imported a second.
+    /// Tokens of KV cache imported per second.
     pub kv_import_tokens_per_second: f64,
-    /// Prefixes shorter than this are neither exported nor imported.
+    /// Minimum number of tokens for an export or import.
     pub kv_minimum_tokens: u32,
-    /// How long an exported prefix is expected in the KV store.
+    /// Expected time the KV store retains an exported prefix.
     pub kv_store_retention: Duration,
 }
 
 impl DispatchParameters {
-    /// Longest wait in the queue.
+    /// Maximum time in the queue.
     pub fn queue_wait(&self, priority: Priority) -> Duration {
         match priority {
             Priority::Interactive => self.interactive_queue_wait,
@@ -82,7 +90,7 @@
         }
     }
 
-    /// Price of a recomputed token, on top of the time it takes.
+    /// Extra cost per recomputed token, on top of the computing time; 0 when the mechanism is off.
     pub fn recompute_price(&self, priority: Priority) -> f64 {
         if !self.mechanisms.recompute_price {
             return 0.0;
--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -1,6 +1,6 @@
-//! The dispatcher.
+//! The dispatcher: its state and the routing of events.
 //!
-//! Here are its state and the way of each event; each step of a request's life has its own module.
+//! Each step of request handling has its own submodule.
 
 mod answers;
 mod attempt_ends;
@@ -34,11 +34,13 @@
 use super::tenant_limiter::TenantLimiter;
 use super::{DispatchAction, DispatchEvent, DispatchParameters, RoutingSnapshot};
 
-/// Decides for every request of one router process which back end serves it, and when.
+/// Decides which back end serves each request of one router process, and when.
 ///
-/// Invariants: every submitted request gets exactly one [`DispatchAction::Finish`]; a request that
-/// may run at most once is started again only while every ended attempt certainly did not run; an
-/// attempt number is never used twice.
+/// Invariants:
+/// - Every submitted request gets exactly one [`DispatchAction::Finish`].
+/// - A request that may run at most once is retried only if every ended attempt certainly did not
+///   run.
+/// - An attempt id is never used twice.
 #[derive(Debug)]
 pub struct Dispatcher {
     zone: ZoneName,
@@ -50,7 +52,7 @@
     attempts: BTreeMap<AttemptId, AttemptRecord>,
     engines: EngineTable,
     pools: BTreeMap<PoolName, PoolState>,
-    /// Queued requests by the time at which they are given up.
+    /// Queued requests, ordered by the time at which they expire.
     queue_expiries: BTreeSet<(Timestamp, RequestId)>,
     prefix_rates: PrefixHeat,
     cache_directory: CacheKnowledge,
@@ -58,19 +60,20 @@
     data_centre_latencies: SiteDistance,
     retry_budget: RetryBudget,
     first_request_at: Option<Timestamp>,
-    /// `None` while limits of tenants are not enforced.
+    /// `None` while tenant limits are not enforced.
     tenant_limiter: Option<TenantLimiter>,
     stage_meter: StageMeter,
 }
 
 impl Dispatcher {
-    /// A dispatcher of a process in `zone` of `data_centre`; `seed` must be drawn at random at
-    /// every start of a process, so that no two processes ever give the same attempt number.
+    /// Creates the dispatcher of a process in `zone` of `data_centre`. `seed` must be drawn at
+    /// random at every start of a process, so that no two processes ever create the same attempt
+    /// id.
     pub fn new(data_centre: DataCentreName, zone: ZoneName, seed: u64) -> Self {
         Self::with_parameters(data_centre, zone, seed, DispatchParameters::default())
     }
 
-    /// A dispatcher with other than the usual parameters.
+    /// Creates a dispatcher with the given parameters instead of the defaults; see [`Self::new`].
     pub fn with_parameters(
         data_centre: DataCentreName,
         zone: ZoneName,
@@ -100,8 +103,7 @@
         }
     }
 
-    /// Enforces limits of tenants from now on; `node` is the process, which started at
-    /// `started_at`.
+    /// Enforces tenant limits from now on. `node` is this process, which started at `started_at`.
     pub fn limit_tenants(
         &mut self,
         node: NodeName,
@@ -113,7 +115,7 @@
         self.tenant_limiter = Some(limiter);
     }
 
-    /// Takes an event and appends what must be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: DispatchEvent,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Takes what was measured of a migration stage since the last time.
+    /// Returns the measurement of a migration stage since the previous call.
     pub fn take_measurement(&mut self, stage: &StageName) -> Option<StageMeasurement> {
         self.stage_meter.take(stage)
     }
@@ -223,7 +225,7 @@
                 .entry(name.clone())
                 .or_insert_with(|| PoolState::new(parameters, now));
         }
-        // A deleted pool stays, without back ends, until its last request has ended.
+        // A deleted pool is retained without back ends until its last request has ended.
         let in_use: BTreeSet<_> = self
             .requests
             .values()
--- a/crates/core/src/dispatch/dispatcher/answers.rs
+++ b/crates/core/src/dispatch/dispatcher/answers.rs
@@ -1,4 +1,4 @@
-//! What answers and reports of engines tell while attempts run.
+//! Observations from answers and load reports of engines.
 
 use crate::dispatch::EngineObservation;
 use crate::identity::{AttemptId, BackEndName, RequestId};
@@ -27,7 +27,8 @@
             return;
         };
         engine.health.answered();
-        // The cache that is being filled is that of the process that answered.
+        // The prefix is being cached by the process that answered, so its current cache generation
+        // counts.
         if let Some(record) = self.requests.get(&request) {
             self.cache_directory
                 .note(&record.points, key, engine.epoch(), now);
--- a/crates/core/src/dispatch/dispatcher/attempt_ends.rs
+++ b/crates/core/src/dispatch/dispatcher/attempt_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts and what is learnt from them.
+//! Handling of ended attempts, and the estimates updated from them.
 
 use crate::dispatch::attempt_record::AttemptRecord;
 use crate::dispatch::engine_record::EngineRecord;
@@ -9,10 +9,11 @@
 
 use super::Dispatcher;
 
-/// Fewest prompt tokens that an attempt must have computed to tell the prefill speed.
+/// Minimum number of computed prompt tokens for an attempt to be a sample of the prefill speed.
 const MIN_SPEED_SAMPLE_TOKENS: u32 = 1_000;
 
-/// Share of the expected tokens that must have been cached for the expectation to hold.
+/// Minimum share of the expected tokens that must have been cached for the prefix to count as
+/// found.
 const MIN_HIT_SHARE: f64 = 0.9;
 
 impl Dispatcher {
@@ -30,7 +31,8 @@
         self.release(&ended);
         if let Some(observation) = observation {
             self.observe_answer(ended.engine, &ended.request, &observation, now);
-            // A refusal for another incarnation says nothing of who ran the attempt.
+            // A refusal may come from another incarnation, so it does not identify the one that ran
+            // the attempt.
             if !matches!(outcome, AttemptOutcome::NotRun(_)) {
                 ended.incarnation = Some(observation.incarnation);
             }
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Learns from how the expectations of an attempt came out.
+    /// Updates estimates by comparing the expectation of an attempt with its result.
     fn update_estimates(
         &mut self,
         ended: &AttemptRecord,
--- a/crates/core/src/dispatch/dispatcher/endings.rs
+++ b/crates/core/src/dispatch/dispatcher/endings.rs
@@ -1,4 +1,4 @@
-//! The final outcome of a request.
+//! Final outcomes of requests.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         self.serve_queue(&pool_name, now, actions);
     }
 
-    /// Cancels a request that waits for tickets of its tenant.
+    /// Cancels a request that waits for permits of its tenant.
     fn cancel_waiting(&mut self, request: RequestId, actions: &mut Vec<DispatchAction>) {
         let waited = self
             .tenant_limiter
@@ -64,8 +64,8 @@
         self.refuse(request, reason, retry_after, actions);
     }
 
-    /// Refuses a request for good; `retry_after` is told only where coming back can help and
-    /// nothing of the request has run.
+    /// Refuses a request finally. `retry_after` is passed on only if a retry can succeed and no
+    /// part of the request has run.
     pub(super) fn refuse(
         &mut self,
         request: RequestId,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Refuses a request that was never taken in.
+/// Refuses a request that was not accepted into the dispatcher.
 pub(super) fn refuse_unadmitted(request: RequestId, reason: RefusalReason) -> DispatchAction {
     let refusal = Refusal {
         reason,
--- a/crates/core/src/dispatch/dispatcher/placing.rs
+++ b/crates/core/src/dispatch/dispatcher/placing.rs
@@ -1,4 +1,4 @@
-//! Finding an engine for a request.
+//! Placement of requests on engines.
 
 use crate::dispatch::choice::{Choice, NoChoice};
 use crate::dispatch::engine_chooser::EngineChooser;
@@ -75,7 +75,8 @@
         chooser.choose(record, priority, &self.data_centres(record))
     }
 
-    /// Batch work that has begun or waited long is treated as interactive, so that it never starves.
+    /// Batch requests that have delivered chunks or waited long are treated as interactive, so that
+    /// they never starve.
     fn effective_priority(&self, record: &RequestRecord, now: Timestamp) -> Priority {
         if record.has_delivered_chunks() {
             return Priority::Interactive;
@@ -89,9 +90,10 @@
         }
     }
 
-    /// Groups of data centres to try, in order. Where a migration stage decides, its choice comes
-    /// first and all others only when that has no engine with room; elsewhere the near ones count
-    /// as one, because a cached prefix is worth more than a short way.
+    /// Groups of data centres to try, in order. If a migration stage applies, the first group is
+    /// the data centre that it selects, and the others are used only if that has no engine with
+    /// room. Otherwise all nearby data centres form the first group, because a cached prefix saves
+    /// more than low latency.
     fn data_centres(&self, record: &RequestRecord) -> [Vec<DataCentreName>; 2] {
         let profile = &record.profile;
         let staged = preferred_data_centre(
--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an engine with room.
+//! Queue of requests that wait for an engine with room.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 use super::Dispatcher;
 
-/// How long a begun stream waits for a back end that can carry it on. It is only reached when
-/// none comes back that serves its weights.
+/// Maximum time an interrupted stream waits for a back end that can continue it. It is only reached
+/// if no back end that serves its weights version becomes available.
 const MAX_CONTINUATION_WAIT: Duration = Duration::from_secs(120);
 
 impl Dispatcher {
@@ -51,7 +51,8 @@
         self.push_queued(&request, now, actions);
     }
 
-    /// Puts a request into the queue of its pool, and refuses the one that does not fit any more.
+    /// Adds a request to the queue of its pool, and refuses the request that it displaces if the
+    /// queue is full.
     fn push_queued(
         &mut self,
         request: &RequestId,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Forgets that a request waits; its place in the queue itself is taken by the caller.
+    /// Removes the expiry entry of a queued request; the caller removes it from the queue itself.
     pub(super) fn remove_queue_expiry(&mut self, request: &RequestId) {
         let expires_at = self.requests[request].expires_at;
         self.queue_expiries.remove(&(expires_at, request.clone()));
@@ -116,8 +117,9 @@
         }
     }
 
-    /// Places queued requests in order until the one whose turn it is finds no room: first those
-    /// of begun streams. Where these can't go, because it failed them, new requests still may.
+    /// Places queued requests in order until the next one has to keep waiting. Interrupted streams
+    /// come first; if the next of them has to wait, new requests are still placed, because the free
+    /// engines may be ones on which that stream has failed.
     pub(super) fn serve_queue(
         &mut self,
         pool: &PoolName,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// `None` while a queued request has to go on waiting.
+    /// The result of placement, or `None` if the request has to keep waiting.
     fn choose_unless_waiting(
         &self,
         request: &RequestId,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Starts or refuses a request that has just been taken from its queue.
+    /// Starts or refuses a request that the caller has just removed from its queue.
     fn start_dequeued(
         &mut self,
         request: RequestId,
--- a/crates/core/src/dispatch/dispatcher/retries.rs
+++ b/crates/core/src/dispatch/dispatcher/retries.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request after an attempt.
+//! Retries and resumption after an attempt has ended.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use super::Dispatcher;
 
 impl Dispatcher {
-    /// Decides what becomes of the request after an attempt.
+    /// Finishes, resumes, retries or refuses the request, depending on the outcome of its attempt.
     pub(super) fn finish_or_retry(
         &mut self,
         request: RequestId,
@@ -33,7 +33,8 @@
                 self.refuse(request, RefusalReason::Rejected, Duration::ZERO, actions);
             }
             AttemptOutcome::NotRun(reason) => {
-                // The next attempt will ask for the incarnation that has just been learnt.
+                // After a mismatch the next attempt requires the incarnation just observed, so the
+                // engine may be tried again.
                 if reason != NotRunReason::IncarnationMismatch || ended.resumes.is_some() {
                     record.failed_engines.insert(ended.engine);
                 }
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Reads a broken stream on from the same incarnation, which never runs anything twice;
-    /// runs the request again elsewhere when that has failed before or cannot be tried.
+    /// Resumes an interrupted stream from the same incarnation, which does not run the request
+    /// again. If that has failed before or is not possible, retries the request on another engine.
     fn resume_or_run_again(
         &mut self,
         request: RequestId,
--- a/crates/core/src/dispatch/dispatcher/starting.rs
+++ b/crates/core/src/dispatch/dispatcher/starting.rs
@@ -1,4 +1,4 @@
-//! Starting attempts.
+//! Start of attempts.
 
 use crate::dispatch::attempt_record::AttemptRecord;
 use crate::dispatch::choice::Choice;
@@ -51,8 +51,8 @@
             zone: back_end.zone,
             incarnation: engine.incarnation(),
             weights_version: record.weights_version,
-            // Of a process that has not answered yet nothing may be relied on: it may be another
-            // one than the process that earlier attempts went to.
+            // A process that has not answered yet may differ from the one that earlier attempts
+            // were sent to, so nothing is expected in its cache.
             expected_cached_tokens: engine
                 .incarnation()
                 .map_or(0, |_| choice.expectation.known_cached),
--- a/crates/core/src/dispatch/dispatcher/submission.rs
+++ b/crates/core/src/dispatch/dispatcher/submission.rs
@@ -1,4 +1,4 @@
-//! Taking requests in.
+//! Submission of new requests.
 
 use std::time::Duration;
 
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Counts the request for its prefixes and derives over how many engines each is spread.
+    /// Counts the request in the rates of its prefixes and derives the number of engines for each
+    /// prefix.
     fn count_prefixes(&mut self, record: &mut RequestRecord, now: Timestamp) {
         let pool = &self.pools[&record.profile.pool];
         let is_warm = self
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -1,4 +1,4 @@
-//! Chooses an engine for a request.
+//! Selection of an engine for a request.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,15 +21,15 @@
 use super::request_record::RequestRecord;
 use super::{DispatchParameters, KvExport, KvImport, Priority};
 
-/// Most engines with a known part of a prompt that are considered.
+/// The search for engines that cache part of a prompt ends once this many are found.
 const MAX_HOLDERS: usize = 8;
 
-/// Chooses an engine for a request: the one with the least cost among the first in the
-/// deterministic order and those known to hold part of the prompt.
+/// Chooses the engine with the lowest cost for a request, among the first engines in the
+/// deterministic candidate order and those known to cache part of the prompt.
 ///
-/// The cost is the estimated time to the first token, in prompt tokens to compute, plus a price for
-/// recomputation. Work grows with the considered engines, not with all engines, but for one
-/// rendezvous score for each engine of the data centre.
+/// The cost is the estimated time to first token, expressed in prompt tokens to compute, plus extra
+/// cost for recomputation and occupied KV memory. Running time grows with the number of engines
+/// considered, apart from one rendezvous hash for every engine of the data centres.
 pub(super) struct EngineChooser<'a> {
     pub(super) parameters: &'a DispatchParameters,
     pub(super) engines: &'a EngineTable,
@@ -43,7 +43,7 @@
 }
 
 impl EngineChooser<'_> {
-    /// Chooses an engine in the first of these groups of data centres that has one with room.
+    /// Chooses an engine from the first group of data centres that has one with room.
     pub(super) fn choose(
         &self,
         record: &RequestRecord,
@@ -136,10 +136,12 @@
         Err(self.no_choice(in_group, &candidates, record))
     }
 
-    /// The cheapest candidate with room, of those that meet the deadline where any does.
+    /// The candidate with room that has the lowest cost; candidates that meet the deadline come
+    /// first.
     ///
-    /// When none does, the fastest would only be an engine that holds nothing of the prompt, and
-    /// computing it there would make the requests behind it late as well.
+    /// If none meets the deadline, cost still decides rather than time to first token: the fastest
+    /// engine may be one that caches nothing of the prompt, and computing the prompt there would
+    /// delay the requests queued behind it as well.
     fn best<'b>(
         &self,
         candidates: &'b [Candidate<'b>],
@@ -181,7 +183,8 @@
             .map_or(NoChoice::NoEngine, |until| NoChoice::Unavailable { until })
     }
 
-    /// When an engine that does not serve now may be asked again.
+    /// When an engine that is not serving now may be tried again; `None` if it is not expected
+    /// back.
     fn available_at(&self, member: &PoolMember, record: &RequestRecord) -> Option<Timestamp> {
         let engine = self.engines.get(member.key)?;
         if let Some(until) = engine.health.ejected_until() {
@@ -205,7 +208,8 @@
         if !self.parameters.mechanisms.ejection || engine.health.is_serving() {
             return true;
         }
-        // A probe may end as unknown, which only a repeatable request can afford.
+        // The outcome of a probe may be unknown, after which only a repeatable request can be
+        // retried.
         record.is_repeatable() && engine.health.is_due_for_probe(self.now)
     }
 
@@ -271,10 +275,10 @@
         }
     }
 
-    /// Tokens to compute that weigh as much as the KV memory that other requests occupy or wait for.
+    /// Cost, in prompt tokens to compute, of the KV memory that other requests occupy or wait for.
     ///
-    /// The part for waiting requests is bounded: with long queues everywhere, their differences
-    /// must not outweigh recomputation, or an overload would feed itself.
+    /// The part for waiting requests is bounded: when all queues are long, differences between them
+    /// must not outweigh recomputation, because recomputation would increase the overload further.
     fn kv_memory_cost(&self, engine: &EngineRecord) -> f64 {
         let parameters = self.parameters;
         let waiting = engine.waiting(self.now).min(parameters.max_waiting_counted);
@@ -283,15 +287,16 @@
     }
 
     fn has_room(&self, engine: &EngineRecord, record: &RequestRecord, priority: Priority) -> bool {
-        // The caller of a broken stream has part of the answer already and must not wait in line.
+        // The caller of an interrupted stream already has part of the answer, so it doesn't queue
+        // again.
         record.delivered_chunks > 0
             || !self.parameters.mechanisms.engine_windows
             || engine.window.admits(priority, engine.in_flight)
     }
 
-    /// Tokens expected in the cache of an engine: those this process sent there, or those of a
-    /// prefix that is spread widely, and in the first engine in order those that other processes
-    /// are likely to have sent there.
+    /// Prompt tokens expected in an engine's cache, the maximum of: those this process sent there;
+    /// a share of a widely cached prefix; and, for the first engine in candidate order, those that
+    /// other router processes are likely to have sent there.
     fn expected_cached(
         &self,
         known_cached: u32,
@@ -314,7 +319,7 @@
         known.max(widely_cached).max(found)
     }
 
-    /// Tokens of the longest prefix that so many engines are known to hold that any may.
+    /// Length in tokens of the longest widely cached prefix, which any engine may have cached.
     fn widely_cached_tokens(&self, holders: &[KnownHolder]) -> f64 {
         let mut tokens: Vec<u32> = holders.iter().map(|holder| holder.tokens).collect();
         tokens.sort_unstable_by(|left, right| right.cmp(left));
@@ -332,7 +337,7 @@
         }
     }
 
-    /// The kept prefix whose import is faster than computing what the cache lacks of it.
+    /// The longest exported prefix, if importing it is faster than computing its uncached part.
     fn import_beyond(&self, cached: f64, record: &RequestRecord) -> Option<PlacementPoint> {
         self.kv_store?;
         let point = self
@@ -344,7 +349,7 @@
         is_worthwhile.then_some(point)
     }
 
-    /// Prompt tokens that could be computed while so many are imported.
+    /// Cost of importing `tokens`: the prompt tokens that could be computed in the same time.
     fn import_cost(&self, tokens: f64) -> f64 {
         let transfer = tokens / self.parameters.kv_import_tokens_per_second;
         let transfer = Duration::from_secs_f64(transfer.max(0.0));
@@ -352,7 +357,7 @@
             .tokens_in(self.parameters.kv_import_latency + transfer)
     }
 
-    /// Engines expected to hold part of the prompt, each with the longest part.
+    /// Engines expected to cache part of the prompt, each with the longest cached prefix.
     fn known_holders(&self, record: &RequestRecord) -> Vec<KnownHolder> {
         let mut holders: Vec<KnownHolder> = Vec::new();
         if !self.parameters.mechanisms.cache_directory {
@@ -404,7 +409,8 @@
         }
     }
 
-    /// A prefix that was asked for before is worth keeping, once.
+    /// Exports the longest shared prefix if an earlier request had it too and it is not in the
+    /// store yet.
     fn export_after(&self, record: &RequestRecord) -> Option<KvExport> {
         let store = self.kv_store?;
         let shared = record.points.shared().last()?;
@@ -419,8 +425,8 @@
     }
 }
 
-/// The key that orders engines for a request: its longest shared prefix, or the request itself when
-/// it has no prompt.
+/// Hash key of the candidate order for a request: its longest shared prefix, or the request id when
+/// it has no shared prefix.
 fn placement_key(record: &RequestRecord) -> u64 {
     record.points.deepest_shared().map_or_else(
         || xxhash_rust::xxh3::xxh3_64(record.profile.request.as_str().as_bytes()),
--- a/crates/core/src/dispatch/engine_observation.rs
+++ b/crates/core/src/dispatch/engine_observation.rs
@@ -1,25 +1,26 @@
-//! What an answer says of its back end.
+//! State of a back end as stated in its answers.
 
 use super::QueuedTokens;
 use crate::identity::{Incarnation, WeightsVersion};
 
-/// What an answer says of the back end that gave it; newer than any load report.
+/// State of a back end as stated in one of its answers or load reports. Answers are more recent
+/// than load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineObservation {
-    /// The process that answered.
+    /// Incarnation of the process that answered.
     pub incarnation: Incarnation,
-    /// The weights it serves.
+    /// Weights version that the back end serves.
     pub weights_version: WeightsVersion,
-    /// Requests it runs.
+    /// Requests running in the back end.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests waiting in the back end.
     pub waiting: u32,
-    /// Prompt tokens it has yet to compute, if it tells.
+    /// Prompt tokens still to be computed, if the back end states them.
     pub queued_tokens: Option<QueuedTokens>,
-    /// Whether it is draining.
+    /// Whether the back end is draining.
     pub draining: bool,
-    /// Prompt tokens it took from its cache, known with the end of the answer.
+    /// Prompt tokens of this request found in the cache; known at the end of an answer.
     pub cached_tokens: Option<u32>,
-    /// Prompt tokens it counted, known with the end of the answer.
+    /// Prompt tokens of this request as counted by the back end; known at the end of an answer.
     pub prompt_tokens: Option<u32>,
 }
--- a/crates/core/src/dispatch/engine_record.rs
+++ b/crates/core/src/dispatch/engine_record.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher knows of one back end.
+//! State of one back end in the dispatcher.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,14 +13,17 @@
 use super::sent_tokens::SentTokens;
 use super::{EngineObservation, Priority};
 
-/// Load reports are taken to tell of a time so long ago; what answers told since counts more.
+/// Assumed age of a load report on arrival; an observation from a more recent answer takes
+/// precedence.
 const REPORT_LAG: Duration = Duration::from_millis(300);
-/// For so long after an engine said it drains it gets no new work, unless it says otherwise.
+/// An engine that reported draining gets no new work for this long, unless a later report revokes
+/// it.
 const DRAINING_TIMEOUT: Duration = Duration::from_secs(5);
-/// An engine with other weights is asked at most so often whether it has the right ones now.
+/// Minimum interval between requests sent to an engine that last reported another weights version,
+/// to find out whether it has the required one now.
 const WEIGHTS_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the dispatcher knows of one back end.
+/// State of one back end: last observations, own requests in flight, health and cache retention.
 #[derive(Debug)]
 pub(super) struct EngineRecord {
     pub(super) address: SocketAddr,
@@ -31,7 +34,7 @@
     draining_at: Option<Timestamp>,
     weights_probed_at: Option<Timestamp>,
     pub(super) in_flight: u32,
-    /// Prompt tokens of own requests without a first token yet: interactive, batch.
+    /// Prompt tokens of this process's requests that have no first token yet: interactive, batch.
     pending: [u64; 2],
     sent: SentTokens,
     pub(super) window: EngineWindow,
@@ -58,22 +61,23 @@
         }
     }
 
-    /// The process last heard of.
+    /// Latest known incarnation.
     pub(super) fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// The current life of its cache.
+    /// Current cache generation.
     pub(super) fn epoch(&self) -> CacheEpoch {
         self.epoch
     }
 
-    /// Takes what an answer told.
+    /// Applies the observation of an answer.
     pub(super) fn observe_answer(&mut self, observation: &EngineObservation, now: Timestamp) {
         self.observe(observation, now, now);
     }
 
-    /// Takes what a lagging report told, unless an answer told more since.
+    /// Applies a load report, unless an answer gave a more recent observation of the same
+    /// incarnation.
     pub(super) fn observe_report(&mut self, observation: &EngineObservation, now: Timestamp) {
         let observed_at = now.before(REPORT_LAG);
         let is_newer = |load: ObservedLoad| load.observed_at > observed_at;
@@ -83,31 +87,31 @@
         self.observe(observation, observed_at, now);
     }
 
-    /// Share of its requests that are this process's own, as last told.
+    /// Share of the engine's requests that this process sent, as last observed.
     pub(super) fn own_share(&self) -> Option<f64> {
         self.load.and_then(|load| load.own_share())
     }
 
-    /// Whether it may get new work for these weights, as far as it told.
+    /// Whether the engine may get new work for these weights, as last observed.
     pub(super) fn accepts(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
         !self.is_draining(now) && self.serves(weights, now)
     }
 
-    /// Whether it said that it drains.
+    /// Whether the engine reported within [`DRAINING_TIMEOUT`] that it is draining.
     pub(super) fn is_draining(&self, now: Timestamp) -> bool {
         self.draining_at
             .is_some_and(|at| now.since(at) < DRAINING_TIMEOUT)
     }
 
-    /// Notes that a request is sent although it last told of other weights.
+    /// Records that a request is being sent although the engine last reported other weights.
     pub(super) fn record_weights_probe(&mut self, weights: Option<WeightsVersion>, now: Timestamp) {
         if self.has_other_weights(weights) {
             self.weights_probed_at = Some(now);
         }
     }
 
-    /// Prompt tokens it has to compute before a new request's own (estimate), when it computes
-    /// `speed` a second and requests miss `mean_uncached_tokens` on average.
+    /// Estimated prompt tokens that the engine computes before those of a new request, at `speed`
+    /// tokens per second and `mean_uncached_tokens` per request.
     pub(super) fn tokens_ahead(
         &self,
         priority: Priority,
@@ -128,7 +132,8 @@
         own as f64 + other_routers * mean_uncached_tokens
     }
 
-    /// What the engine last told, less what it can have computed since, and what was sent since.
+    /// Queued tokens as last reported, plus those sent since, minus those computed since; `None`
+    /// without a recent report.
     fn reported_tokens_ahead(&self, priority: Priority, speed: f64, now: Timestamp) -> Option<f64> {
         let load = self.load?;
         let reported = load.queued_tokens(priority)?;
@@ -137,12 +142,12 @@
         Some((reported + sent - computed).max(0.0))
     }
 
-    /// Requests that wait in it, as last told.
+    /// Requests waiting in the engine (estimate).
     pub(super) fn waiting(&self, now: Timestamp) -> f64 {
         self.load.map_or(0.0, |load| load.all_waiting(now))
     }
 
-    /// Requests it runs (estimate).
+    /// Requests running in the engine (estimate).
     pub(super) fn running(&self, now: Timestamp) -> f64 {
         let other_routers = self
             .load
@@ -161,7 +166,7 @@
     }
 
     fn observe(&mut self, observation: &EngineObservation, observed_at: Timestamp, now: Timestamp) {
-        // Incarnations only rise: what an older one said is void.
+        // Incarnations only increase, so an observation of an older one is obsolete.
         if self.incarnation > Some(observation.incarnation) {
             return;
         }
--- a/crates/core/src/dispatch/engine_table.rs
+++ b/crates/core/src/dispatch/engine_table.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher knows of all back ends.
+//! State of all back ends in the dispatcher.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 use super::engine_record::EngineRecord;
 
-/// What the dispatcher knows of all back ends of the catalog.
+/// State of all back ends of the catalog.
 ///
-/// Invariant: a key is never given to another back end, so what is remembered under the key of a
-/// deleted back end never speaks of a new one.
+/// Invariant: a key is never reused, so data stored under the key of a deleted back end is never
+/// attributed to a new one.
 #[derive(Debug, Default)]
 pub(super) struct EngineTable {
     keys: BTreeMap<BackEndName, EngineKey>,
@@ -20,7 +20,7 @@
 }
 
 impl EngineTable {
-    /// Drops back ends that the catalog no longer has.
+    /// Removes back ends that are no longer in the catalog.
     pub(super) fn retain(&mut self, catalog: &Catalog) {
         let records = &mut self.records;
         self.keys.retain(|name, key| {
@@ -32,7 +32,8 @@
         });
     }
 
-    /// The key of a back end; a back end that moved to another address is a new one.
+    /// The key of a back end; inserts it if it is new. A back end with a new address gets a new key
+    /// and empty state.
     pub(super) fn key_of(&mut self, back_end: &BackEnd, retention: Retention) -> EngineKey {
         if let Some(key) = self.keys.get(&back_end.name) {
             if self.records[key].address == back_end.address {
@@ -60,7 +61,7 @@
         self.records.get_mut(&key)
     }
 
-    /// The current life of a back end's cache.
+    /// Current cache generation of a back end.
     pub(super) fn epoch_of(&self, key: EngineKey) -> Option<CacheEpoch> {
         self.get(key).map(EngineRecord::epoch)
     }
--- a/crates/core/src/dispatch/exported_prefixes.rs
+++ b/crates/core/src/dispatch/exported_prefixes.rs
@@ -1,4 +1,4 @@
-//! What the KV stores keep.
+//! Prefixes exported to the KV stores.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use crate::prompt::BlockHash;
 use crate::timestamp::Timestamp;
 
-/// Which prefixes this process had exported to the KV store of their pool; bounded.
+/// Bounded table of prefixes that this process had exported to the KV store of their pool.
 ///
-/// Only a hint: a prefix that is gone is recomputed. Hashes are salted with the weights version, so
-/// nothing computed by other weights is ever imported.
+/// An entry is only a hint: a prefix that the store no longer has is recomputed. Hashes are salted
+/// with the weights version, so KV cache computed with other weights is never imported.
 #[derive(Debug)]
 pub(super) struct ExportedPrefixes {
     retention: Duration,
@@ -28,7 +28,7 @@
         *self.exported_at.get_or_insert_with(prefix, || None) = Some(now);
     }
 
-    /// An import did not find it.
+    /// Records that an import did not find the prefix.
     pub(super) fn record_missing(&mut self, prefix: BlockHash) {
         if let Some(exported_at) = self.exported_at.get_mut(prefix) {
             *exported_at = None;
@@ -40,7 +40,7 @@
         exported_at.is_some_and(|at| now.since(at) < self.retention)
     }
 
-    /// The longest of these prefixes that is kept.
+    /// The longest of these prefixes that is expected in the store.
     pub(super) fn longest(
         &self,
         points: &[PlacementPoint],
--- a/crates/core/src/dispatch/final_outcome.rs
+++ b/crates/core/src/dispatch/final_outcome.rs
@@ -1,14 +1,14 @@
-//! How a request ended.
+//! Final outcome of a request.
 
 use super::Refusal;
 
-/// The single outcome of a request.
+/// Final outcome of a request; each request has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// The whole answer reached the caller.
+    /// The complete answer reached the caller.
     Completed,
-    /// It was refused, or broke off for good.
+    /// The request was refused, or its answer was interrupted and could not be continued.
     Refused(Refusal),
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
--- a/crates/core/src/dispatch/known_holder.rs
+++ b/crates/core/src/dispatch/known_holder.rs
@@ -1,16 +1,17 @@
-//! An engine known to hold part of a prompt.
+//! An engine known to cache part of a prompt.
 
 use std::time::Duration;
 
 use crate::placement::{CacheEpoch, EngineKey};
 
-/// An engine whose cache is expected to hold the beginning of a prompt.
+/// An engine whose cache is expected to contain a prefix of the prompt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct KnownHolder {
     pub(super) engine: EngineKey,
-    /// Tokens of the longest prefix it holds.
+    /// Length in tokens of the longest cached prefix.
     pub(super) tokens: u32,
-    /// How long ago that was used, and in which life of the cache.
+    /// Time since that prefix was last used.
     pub(super) age: Duration,
+    /// Cache generation in which it was used.
     pub(super) epoch: CacheEpoch,
 }
--- a/crates/core/src/dispatch/kv_import.rs
+++ b/crates/core/src/dispatch/kv_import.rs
@@ -1,4 +1,4 @@
-//! Import of kept KV cache.
+//! Import of KV cache from the KV store.
 
 use std::net::SocketAddr;
 
@@ -11,6 +11,6 @@
     pub store: SocketAddr,
     /// The prefix to import.
     pub prefix: BlockHash,
-    /// Its tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
 }
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
-//! The life of a request inside one router process: admission, choice of back end, attempts,
-//! retries and its single outcome.
+//! Request handling inside one router process: admission, back-end selection, attempts, retries and
+//! the final outcome.
 //!
-//! [`Dispatcher`] is the only entry. The node and the simulator feed it [`DispatchEvent`]s and
-//! carry out its [`DispatchAction`]s.
+//! [`Dispatcher`] is a state machine without I/O and the only entry point. The node and the
+//! simulator pass it [`DispatchEvent`]s and carry out the [`DispatchAction`]s that it returns.
 
 mod assignment;
 mod attempt_outcome;
--- a/crates/core/src/dispatch/not_run_reason.rs
+++ b/crates/core/src/dispatch/not_run_reason.rs
@@ -7,22 +7,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
-    /// No connection; not one byte of the request was written.
+    /// Connecting failed; no byte of the request was written.
     #[display("connect_failed")]
     ConnectFailed,
-    /// The back end has another incarnation than the attempt asked for.
+    /// The back end's incarnation differs from the one the attempt required.
     #[display("incarnation_mismatch")]
     IncarnationMismatch,
-    /// The back end serves another weights version than the attempt asked for.
+    /// The back end serves another weights version than the attempt required.
     #[display("weights_mismatch")]
     WeightsMismatch,
-    /// The back end is full.
+    /// The back end is at capacity.
     #[display("overloaded")]
     Overloaded,
     /// The back end is draining.
     #[display("draining")]
     Draining,
-    /// The back end refused the request itself; another would refuse it too.
+    /// The back end rejected the request as invalid; any other back end would reject it too.
     #[display("rejected")]
     Rejected,
 }
--- a/crates/core/src/dispatch/observed_load.rs
+++ b/crates/core/src/dispatch/observed_load.rs
@@ -1,4 +1,4 @@
-//! Load of an engine as last told.
+//! Last observed load of an engine.
 
 use std::time::Duration;
 
@@ -6,17 +6,18 @@
 
 use super::{EngineObservation, Priority, QueuedTokens};
 
-/// After this long little is left of what an engine told of requests of other processes.
+/// Time constant of the exponential decay of an observation: older ones say little about current
+/// load.
 const LOAD_DECAY_TIME: Duration = Duration::from_secs(1);
 
-/// Load of an engine as it last told, and how much of it was this process's own.
+/// Last observed load of an engine, with the part of it that this process had sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ObservedLoad {
     running: u32,
     waiting: u32,
     queued_tokens: Option<QueuedTokens>,
     own_in_flight: u32,
-    /// The time it tells of.
+    /// Time to which the observation applies.
     pub(super) observed_at: Timestamp,
 }
 
@@ -31,13 +32,14 @@
         }
     }
 
-    /// Share of its requests that are this process's own, if it had any.
+    /// Share of the engine's requests that this process sent; `None` if the engine had none.
     pub(super) fn own_share(&self) -> Option<f64> {
         let total = self.running + self.waiting;
         (total > 0).then(|| (f64::from(self.own_in_flight) / f64::from(total)).min(1.0))
     }
 
-    /// Prompt tokens that were to be computed before a new request's own, if the engine told.
+    /// Queued prompt tokens that the engine computes before those of a new request, if it reported
+    /// them.
     pub(super) fn queued_tokens(&self, priority: Priority) -> Option<f64> {
         let queued = self.queued_tokens?;
         let tokens = match priority {
@@ -47,17 +49,17 @@
         Some(f64::from(tokens))
     }
 
-    /// Requests that wait now (estimate).
+    /// Requests waiting in the engine now (estimate).
     pub(super) fn all_waiting(&self, now: Timestamp) -> f64 {
         f64::from(self.waiting) * self.decay_factor(now)
     }
 
-    /// Requests of other processes that wait now (estimate).
+    /// Requests of other router processes waiting now (estimate).
     pub(super) fn other_routers_waiting(&self, now: Timestamp) -> f64 {
         f64::from(self.waiting) * self.other_routers_share() * self.decay_factor(now)
     }
 
-    /// Requests of other processes that run now (estimate).
+    /// Requests of other router processes running now (estimate).
     pub(super) fn other_routers_running(&self, now: Timestamp) -> f64 {
         f64::from(self.running) * self.other_routers_share() * self.decay_factor(now)
     }
--- a/crates/core/src/dispatch/priority.rs
+++ b/crates/core/src/dispatch/priority.rs
@@ -2,15 +2,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is.
+/// Priority of a request, in ascending order.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Overnight work that may wait.
+    /// Background work that may wait, such as overnight jobs.
     Batch,
-    /// Somebody waits for the first token.
+    /// A user waits for the first token.
     #[default]
     Interactive,
 }
--- a/crates/core/src/dispatch/queued_tokens.rs
+++ b/crates/core/src/dispatch/queued_tokens.rs
@@ -1,10 +1,10 @@
-//! Prompt tokens an engine has yet to compute.
+//! Prompt tokens queued in an engine.
 
-/// Prompt tokens that an engine has yet to compute, for running and waiting requests.
+/// Prompt tokens of running and waiting requests that an engine has not computed yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct QueuedTokens {
-    /// Those of interactive requests.
+    /// Tokens of interactive requests.
     pub interactive: u32,
-    /// Those of batch requests.
+    /// Tokens of batch requests.
     pub batch: u32,
 }
--- a/crates/core/src/dispatch/repeatability.rs
+++ b/crates/core/src/dispatch/repeatability.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeatability {
-    /// Running it twice does no harm.
+    /// Running the request more than once is harmless.
     #[default]
     Repeatable,
-    /// It runs at most once, over all router processes, under this key.
+    /// At most one request with this key runs, over all router processes.
     AtMostOnce(IdempotencyKey),
 }
--- a/crates/core/src/dispatch/request_profile.rs
+++ b/crates/core/src/dispatch/request_profile.rs
@@ -1,4 +1,4 @@
-//! What decisions need to know of a request.
+//! Properties of a request that dispatch decisions use.
 
 use crate::identity::{PoolName, RequestId, TenantName};
 use crate::prompt::PrefixChain;
@@ -6,27 +6,28 @@
 
 use super::{Priority, Repeatability};
 
-/// What decisions need to know of a request; its body stays with the caller of `core`.
+/// Properties of a request that dispatch decisions use. The body stays with the caller of this
+/// crate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestProfile {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Who asks.
+    /// The tenant that sent it.
     pub tenant: TenantName,
     /// The pool that serves it.
     pub pool: PoolName,
-    /// Prefixes of its prompt; empty for plain services.
+    /// Prefixes of the prompt; empty for service pools.
     pub prefix: PrefixChain,
-    /// Tokens of its prompt (estimate).
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens the answer may have (estimate).
+    /// Estimated maximum number of tokens in the answer.
     pub expected_output_tokens: u32,
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the first token.
     pub deadline: Option<Timestamp>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatability: Repeatability,
-    /// When the router received it.
+    /// When the router received the request.
     pub arrived_at: Timestamp,
 }
--- a/crates/core/src/dispatch/request_record.rs
+++ b/crates/core/src/dispatch/request_record.rs
@@ -1,4 +1,4 @@
-//! A request in the dispatcher.
+//! State of a request in the dispatcher.
 
 use std::collections::BTreeSet;
 
@@ -8,30 +8,32 @@
 
 use super::{RefusalReason, Repeatability, RequestProfile, ResumePoint, RunState};
 
-/// A request from its arrival to its final outcome.
+/// State of a request from its arrival to its final outcome.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
     pub(super) profile: RequestProfile,
-    /// The only weights it may run at, fixed at arrival: its prefix hashes hold for no other.
+    /// The only weights version that may run the request, fixed at arrival because its prefix
+    /// hashes are valid for no other version; `None` for service pools.
     pub(super) weights_version: Option<WeightsVersion>,
-    /// Its prefixes that placement considers.
+    /// Prefixes of the prompt that placement considers.
     pub(super) points: PlacementPoints,
-    /// Over how many engines each of its outer prefixes is spread, fixed at arrival.
+    /// Number of engines over which each shared prefix is spread, fixed at arrival.
     pub(super) widths: Vec<PrefixWidth>,
-    /// Whether its shared prefix was asked for before.
+    /// Whether an earlier request had the same longest shared prefix.
     pub(super) is_recurring: bool,
     pub(super) attempts_made: u32,
-    /// What is known over all attempts that have ended.
+    /// Run state over all attempts that have ended.
     pub(super) run_state: RunState,
-    /// Back ends that failed it and are not asked again.
+    /// Back ends on which an attempt failed; they are not tried again.
     pub(super) failed_engines: BTreeSet<EngineKey>,
-    /// Chunks of the answer that reached the caller, over all attempts.
+    /// Chunks of the answer delivered to the caller, over all attempts.
     pub(super) delivered_chunks: u64,
     pub(super) running_attempt: Option<AttemptId>,
-    /// When it came into the queue, while it waits there.
+    /// When the request was first queued; `None` once an attempt has started.
     pub(super) queued_at: Option<Timestamp>,
-    /// When it is given up, and why, while it waits in the queue.
+    /// When the request is refused if it is still queued.
     pub(super) expires_at: Timestamp,
+    /// Reason of that refusal.
     pub(super) expiry_reason: RefusalReason,
 }
 
@@ -54,12 +56,12 @@
         }
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub(super) fn is_repeatable(&self) -> bool {
         self.profile.repeatability == Repeatability::Repeatable
     }
 
-    /// Whether another attempt may run it again from the start or from what the caller has.
+    /// Whether another attempt may run the request, from the start or from the delivered chunks on.
     pub(super) fn may_run_again(&self) -> bool {
         self.is_repeatable() || self.run_state == RunState::NotRun
     }
@@ -69,14 +71,14 @@
         self.delivered_chunks > 0
     }
 
-    /// When its first token must have come; a begun stream has met its deadline.
+    /// Deadline of the first token; `None` once chunks were delivered, because the deadline is met.
     pub(super) fn first_token_deadline(&self) -> Option<Timestamp> {
         self.profile
             .deadline
             .filter(|_| !self.has_delivered_chunks())
     }
 
-    /// Takes what an ended attempt says of whether the request ran; knowledge only rises.
+    /// Merges the run state of an ended attempt; the state only changes towards [`RunState::Ran`].
     pub(super) fn record_run_state(&mut self, state: RunState) {
         self.run_state = match (self.run_state, state) {
             (RunState::Ran, _) | (_, RunState::Ran) => RunState::Ran,
@@ -85,7 +87,7 @@
         };
     }
 
-    /// Where an attempt on another back end starts.
+    /// Where an attempt on another back end resumes; `None` when it starts from the beginning.
     pub(super) fn continuation(&self) -> Option<ResumePoint> {
         self.has_delivered_chunks()
             .then_some(ResumePoint::Continue {
--- a/crates/core/src/dispatch/resume_point.rs
+++ b/crates/core/src/dispatch/resume_point.rs
@@ -1,20 +1,20 @@
-//! Where a broken stream goes on.
+//! Where an interrupted stream resumes.
 
 use crate::identity::AttemptId;
 
-/// Where a broken stream goes on.
+/// Where an interrupted stream resumes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResumePoint {
-    /// The same incarnation still holds the attempt: ask it for the chunks from this index.
+    /// The same incarnation still has the attempt; request the remaining chunks from it.
     SameEngine {
-        /// The attempt that broke.
+        /// The interrupted attempt.
         attempt: AttemptId,
         /// Index of the next chunk.
         next_chunk: u64,
     },
-    /// Another engine continues from the prompt and what the caller already has.
+    /// Another engine continues from the prompt and the chunks already delivered.
     Continue {
-        /// Chunks the caller already has.
+        /// Chunks already delivered to the caller.
         delivered_chunks: u64,
     },
 }
--- a/crates/core/src/dispatch/routing_snapshot.rs
+++ b/crates/core/src/dispatch/routing_snapshot.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes to traffic threads.
+//! State that the control thread publishes to traffic threads.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use crate::catalog::Catalog;
 use crate::identity::BackEndName;
 
-/// Immutable state that traffic decisions read; a newer one replaces it whole.
+/// Immutable state that traffic decisions read; replaced as a whole by a newer snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingSnapshot {
     /// The accepted configuration.
     pub catalog: Arc<Catalog>,
-    /// Back ends that take no new work: drained by operators, leaving by their own word or the
-    /// machine list.
+    /// Back ends that get no new work: drained by operators, or leaving according to their own
+    /// report or the machine list.
     pub leaving: BTreeSet<BackEndName>,
 }
--- a/crates/core/src/dispatch/sent_tokens.rs
+++ b/crates/core/src/dispatch/sent_tokens.rs
@@ -1,4 +1,4 @@
-//! Prompt tokens sent to an engine lately.
+//! Prompt tokens recently sent to an engine.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,11 +7,12 @@
 
 use super::Priority;
 
-/// Sends older than this are forgotten.
+/// Entries older than this are dropped.
 const SEND_RETENTION: Duration = Duration::from_secs(2);
 
-/// Prompt tokens to compute that this process has sent to an engine lately, to add them to what the
-/// engine told before them.
+/// Uncached prompt tokens that this process recently sent to an engine.
+///
+/// They are added to the queued tokens that the engine reported before they were sent.
 #[derive(Debug, Default)]
 pub(super) struct SentTokens {
     sends: VecDeque<(Timestamp, Priority, u32)>,
@@ -26,8 +27,8 @@
         self.sends.push_back((now, priority, tokens));
     }
 
-    /// Tokens sent after `observed_at` that are computed before a new request's own; `None` when what
-    /// was told is too old to add to.
+    /// Tokens sent after `observed_at` that the engine computes before those of a new request;
+    /// `None` if entries since then may already have been dropped.
     pub(super) fn since(
         &self,
         observed_at: Timestamp,
--- a/crates/core/src/dispatch/smoothed.rs
+++ b/crates/core/src/dispatch/smoothed.rs
@@ -1,6 +1,6 @@
-//! An exponentially smoothed average.
+//! Exponential moving average.
 
-/// An exponentially smoothed average.
+/// Exponential moving average.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Smoothed {
     value: f64,
@@ -8,7 +8,7 @@
 }
 
 impl Smoothed {
-    /// Starts at `value`; each sample counts with `weight`.
+    /// Starts at `value`; each sample has the given `weight` (between 0 and 1).
     pub(super) fn new(value: f64, weight: f64) -> Self {
         Self { value, weight }
     }
--- a/crates/core/src/dispatch/tenant_limiter.rs
+++ b/crates/core/src/dispatch/tenant_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants in front of placement.
+//! Enforcement of tenant limits before placement.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 
 use super::{DispatchAction, FinalOutcome, Refusal, RefusalReason, RequestProfile, RunState};
 
-/// Requests that wait for tickets at most; more are refused at once.
+/// Maximum number of requests that wait for permits; further ones are refused immediately.
 const MAX_WAITING: usize = 4_096;
 
-/// Lets requests through while their tenants have tickets, and holds those that wait for some.
+/// Admits requests while their tenants have permits, and queues those that wait for permits.
 #[derive(Debug)]
 pub(super) struct TenantLimiter {
     borrower: LimitBorrower,
     settings: LimitSettings,
     waiting: BTreeMap<TenantName, VecDeque<RequestProfile>>,
     waiting_count: usize,
-    /// Requests that were let through and are not over.
+    /// Admitted requests that have not ended.
     admitted: BTreeMap<RequestId, TenantName>,
 }
 
@@ -39,7 +39,7 @@
         self.borrower.adopt(catalog);
     }
 
-    /// Gives the request back when it may go on; otherwise it waits or is refused.
+    /// Returns the request if it is admitted now; otherwise it is queued or refused.
     pub fn admit(
         &mut self,
         profile: RequestProfile,
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Takes a bank's grant and returns the requests that may go on.
+    /// Applies a grant from an allocator and returns the queued requests that are now admitted.
     pub fn receive(
         &mut self,
         from: &NodeName,
@@ -87,7 +87,7 @@
         self.retry(&grant.tenant, now, actions)
     }
 
-    /// Lets time pass and returns the requests that may go on.
+    /// Advances the time and returns the queued requests that are now admitted.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    /// Takes a waiting request out; whether there was one.
+    /// Removes a queued request; returns whether it was queued.
     pub fn cancel(&mut self, request: &RequestId) -> bool {
         for queue in self.waiting.values_mut() {
             let before = queue.len();
@@ -116,7 +116,7 @@
         false
     }
 
-    /// Gives back the streams of requests that are over.
+    /// Releases the concurrent-stream slots of requests that have ended.
     pub fn record_finished(&mut self, actions: &[DispatchAction]) {
         for action in actions {
             if let DispatchAction::Finish { request, .. } = action
@@ -132,7 +132,7 @@
             .insert(profile.request.clone(), profile.tenant.clone());
     }
 
-    /// Requests of a tenant go on in the order in which they came.
+    /// Admits queued requests of a tenant in order of arrival, until one has to keep waiting.
     fn retry(
         &mut self,
         tenant: &TenantName,
