--- a/crates/core/src/claim/claim_client.rs
+++ b/crates/core/src/claim/claim_client.rs
@@ -1,4 +1,4 @@
-//! The claiming side.
+//! The claiming side of the protocol.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,20 +14,21 @@
     VoteRequest, issued_at,
 };
 
-/// Odd multiplier of the sequence of claim ids (64-bit golden ratio); visits every number once.
+/// Increment between successive claim ids (2^64 divided by the golden ratio). It is odd, so the
+/// sequence visits every 64-bit number once.
 const CLAIM_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A granted claim whose request is not over yet.
+/// A granted claim whose request has not ended.
 #[derive(Debug, Clone)]
 struct HeldClaim {
     digest: KeyDigest,
     keepers: Vec<NodeName>,
 }
 
-/// Claims keys for the requests of one router process.
+/// Claims idempotency keys for the requests of one router process.
 ///
-/// Invariant: a request is granted at most once, after votes of a majority of one epoch of the
-/// key's keepers, and a released claim is never dispatched.
+/// Invariant: the claim of a request is granted at most once, only by a majority of the key's
+/// keepers in a single epoch, and the request of a released claim is never dispatched.
 #[derive(Debug, Clone)]
 pub struct ClaimClient {
     settings: ClaimSettings,
@@ -39,8 +40,8 @@
 }
 
 impl ClaimClient {
-    /// A client; `seed` must differ between processes and between starts of one process, because
-    /// claim ids follow from it.
+    /// Creates a client. `seed` must differ between processes and between starts of one process,
+    /// because claim ids are derived from it.
     pub fn new(seed: u64, settings: ClaimSettings) -> Self {
         Self {
             settings,
@@ -52,14 +53,14 @@
         }
     }
 
-    /// When the next [`ClaimClientEvent::Tick`] is due.
+    /// When the next [`ClaimClientEvent::Tick`] is due; `None` while nothing is pending.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let decisions = self.pending.values().map(|claim| claim.vote_deadline);
         let sends = self.releases.values().map(|release| release.next_send_at);
         decisions.chain(sends).min()
     }
 
-    /// Takes an event and appends what must be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: ClaimClientEvent,
@@ -122,7 +123,7 @@
         self.pending.insert(claim, pending);
     }
 
-    /// The outcome that follows from the key's issue time alone.
+    /// The outcome, if the key's issue time alone determines it.
     fn decide_by_age(&self, issued_at: Option<Timestamp>, now: Timestamp) -> Option<ClaimOutcome> {
         let issued_at = issued_at?;
         if issued_at < now.before(self.settings.lifetime) {
@@ -173,7 +174,8 @@
             return;
         };
         let timed_out = now >= pending.vote_deadline;
-        // A vote that arrives after a long pause of this process is no leave to dispatch.
+        // After a long pause of this process, a majority that arrives too late must not allow
+        // dispatch.
         if pending.is_granted() && !timed_out {
             self.grant(claim, actions);
         } else if pending.cannot_succeed() || timed_out {
--- a/crates/core/src/claim/claim_client_action.rs
+++ b/crates/core/src/claim/claim_client_action.rs
@@ -1,4 +1,4 @@
-//! What a claiming process wants done.
+//! Actions of the claim client.
 
 use derive_more::From;
 
@@ -6,12 +6,12 @@
 
 use super::{ClaimEnvelope, ClaimOutcome};
 
-/// What a [`super::ClaimClient`] wants done.
+/// Actions that a [`super::ClaimClient`] requests.
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 pub enum ClaimClientAction {
     /// Send a message.
     Send(ClaimEnvelope),
-    /// The claim of a request is decided; said once a request.
+    /// The claim of a request is decided; issued exactly once per request.
     #[from(skip)]
     Decided {
         /// The request.
--- a/crates/core/src/claim/claim_client_event.rs
+++ b/crates/core/src/claim/claim_client_event.rs
@@ -1,17 +1,17 @@
-//! What happens to a claiming process.
+//! Events of the claim client.
 
 use crate::identity::{IdempotencyKey, NodeName, RequestId, TenantName};
 
 use super::{ClaimId, ClaimMessage, ClaimRoster};
 
-/// What happens to a [`super::ClaimClient`].
+/// Events that a [`super::ClaimClient`] handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimClientEvent {
-    /// A request needs its key claimed.
+    /// A request needs a claim on its idempotency key.
     Requested {
         /// The request.
         request: RequestId,
-        /// Whose key it is.
+        /// Tenant that the key belongs to.
         tenant: TenantName,
         /// The key.
         key: IdempotencyKey,
@@ -21,7 +21,7 @@
         /// The claim.
         claim: ClaimId,
     },
-    /// The request of a granted claim is over and ran or may have run; its key stays claimed.
+    /// The request of a granted claim has ended and ran or may have run; its key stays claimed.
     Ended {
         /// The claim.
         claim: ClaimId,
@@ -33,8 +33,8 @@
         /// Its answer.
         message: ClaimMessage,
     },
-    /// The configuration names these keepers.
+    /// The configuration contains a new roster.
     RosterChanged(ClaimRoster),
-    /// Time passed; due at [`super::ClaimClient::next_deadline`].
+    /// Timer tick; due at [`super::ClaimClient::next_deadline`].
     Tick,
 }
--- a/crates/core/src/claim/claim_id.rs
+++ b/crates/core/src/claim/claim_id.rs
@@ -5,9 +5,9 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Identifies one claim on a key; drawn at random by the process that claims.
+/// Identifies one claim on a key; a pseudo-random number from the claiming process.
 ///
-/// Travels as hexadecimal text, because JSON readers lose the low bits of large numbers.
+/// Serialised as hexadecimal text, because JSON parsers may lose the low bits of large numbers.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
--- a/crates/core/src/claim/claim_keeper.rs
+++ b/crates/core/src/claim/claim_keeper.rs
@@ -1,4 +1,4 @@
-//! Keeper of claims.
+//! A keeper, which votes on claims and stores those it granted.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -16,44 +16,47 @@
 };
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Time between questions to a keeper that does not answer.
+/// Interval at which a records request to a keeper that does not answer is repeated.
 const COPY_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Claims in one part of a copy; about 150 KB.
+/// Number of claims after which a page of records ends; about 150 KB.
 const PAGE_CLAIMS: usize = 2_000;
 
-/// What a keeper remembers of a key.
+/// A claim that a keeper stores for a key.
 #[derive(Debug, Clone, Copy)]
 struct StoredClaim {
     claim: ClaimId,
     forget_after_second: u32,
 }
 
-/// Remembers, in memory only, which claim holds which key.
+/// Votes on claims and stores, in memory only, which claim holds which key.
 ///
-/// Invariant: a keeper votes for a claim only if it would remember any earlier vote of its own for
-/// the same key. A keeper that restarts is empty, so it votes only on keys issued after its start
-/// or, where the key does not tell, after it has been up for a whole claim lifetime.
+/// Invariant: a keeper grants a claim only if its records would contain any earlier claim that it
+/// granted on the same key. The records of a restarted keeper are empty. Until it has copied those
+/// of other keepers, it therefore grants claims only on keys issued after its start or, for opaque
+/// keys, once it has been up for [`ClaimSettings::opaque_key_lifetime`].
 #[derive(Debug, Clone)]
 pub struct ClaimKeeper {
     name: NodeName,
     settings: ClaimSettings,
     started_at: Timestamp,
-    /// By position of the group in the roster; groups in which this process is a settled keeper.
+    /// Coverage of the records, by index of the group in the roster; contains the groups in which
+    /// this process is a voter.
     coverage: BTreeMap<usize, RecordCoverage>,
     roster: ClaimRoster,
-    /// Looked up by key only; never iterated, so its order decides nothing.
+    /// Only looked up by key and never iterated, so behaviour doesn't depend on the order of the
+    /// map.
     records: HashMap<KeyDigest, StoredClaim>,
-    /// Claims on keys that other keepers had granted to different claims when they were copied:
-    /// any of them may be the one that a majority granted.
+    /// Further claims on keys for which the copied records of other keepers contain different
+    /// claims. Any of them may be the one that a majority granted.
     conflicting_claims: BTreeMap<KeyDigest, Vec<StoredClaim>>,
-    /// Copies of the other keepers' memory, by position of the group.
+    /// Unfinished copies of the other keepers' records, by index of the group.
     copies: BTreeMap<usize, RecordsCopy>,
     copy_rounds: u64,
     expiry: ExpiryQueue,
 }
 
 impl ClaimKeeper {
-    /// A keeper in the process `name`, which started at `started_at` with an empty memory.
+    /// Creates the keeper of the process `name`, which started at `started_at`, without records.
     pub fn new(name: NodeName, started_at: Timestamp, settings: ClaimSettings) -> Self {
         Self {
             name,
@@ -69,12 +72,12 @@
         }
     }
 
-    /// Claims remembered now.
+    /// Number of keys with a stored claim.
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Takes an event and appends the messages to send.
+    /// Handles an event and appends the messages to send to `sends`.
     pub fn handle(
         &mut self,
         event: ClaimKeeperEvent,
@@ -113,9 +116,9 @@
         self.roster = roster;
     }
 
-    /// How far back a process remembers a group that it sees itself a settled keeper of for the
-    /// first time. Claims of earlier epochs, and of an earlier process of its name, lie before
-    /// `now`; there are none when it was up before the first roster was written.
+    /// Coverage of the records of a group in which this process becomes a voter. Claims granted in
+    /// earlier epochs, or by an earlier process with the same name, were granted before `now`.
+    /// There are none if this process was up before the first roster was written.
     fn initial_coverage(
         &self,
         roster: &ClaimRoster,
@@ -177,13 +180,13 @@
         }
     }
 
-    /// Any ask that a keeper may still vote on was sent less than this long ago.
+    /// Maximum age of a vote request on which a keeper may still vote.
     fn vote_request_lifetime(&self) -> Duration {
         self.settings.vote_timeout + self.settings.clock_tolerance * 3
     }
 
-    /// Asks the other keepers for what they remember: with that this keeper can vote again long
-    /// before it has been up for as long as claims must be remembered.
+    /// Requests the records of the other keepers, with which this keeper can vote again long before
+    /// it has been up for a whole claim lifetime.
     fn request_records(&mut self, now: Timestamp, sends: &mut Vec<ClaimEnvelope>) {
         let copied_lifetime = self.settings.opaque_key_lifetime + self.settings.clock_tolerance * 4;
         let max_expiry_delay = self.settings.lifetime + self.settings.clock_tolerance * 2;
@@ -240,7 +243,7 @@
         });
     }
 
-    /// Claims on a key that may be forgotten after `second`.
+    /// Claims on a key that expire after `second`.
     fn records_expiring_at(&self, second: u32, digest: KeyDigest) -> Vec<ClaimRecord> {
         let conflicting_claims = self
             .conflicting_claims
@@ -319,7 +322,7 @@
         }
     }
 
-    /// Votes on older keys again once enough keepers were copied.
+    /// Extends the coverage to older keys once the records of enough keepers were copied.
     fn extend_coverage(&mut self, index: usize) {
         let Some(copy) = self.copies.get(&index) else {
             return;
@@ -438,7 +441,8 @@
         }
     }
 
-    /// A key that was released and claimed again stands in the queue twice; its record decides.
+    /// Removes the claim on a key if it has expired. A key that was released and claimed again is
+    /// in the expiry queue twice, so the stored claim decides.
     fn remove_if_expired(&mut self, digest: KeyDigest, second: u32) {
         let expired = self
             .records
--- a/crates/core/src/claim/claim_keeper_event.rs
+++ b/crates/core/src/claim/claim_keeper_event.rs
@@ -1,21 +1,21 @@
-//! What happens to a keeper.
+//! Events of a claim keeper.
 
 use crate::identity::NodeName;
 
 use super::{ClaimMessage, ClaimRoster};
 
-/// What happens to a [`super::ClaimKeeper`].
+/// Events that a [`super::ClaimKeeper`] handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimKeeperEvent {
-    /// A claiming process sent a message.
+    /// A claiming process or another keeper sent a message.
     Received {
         /// The sender.
         from: NodeName,
         /// The message.
         message: ClaimMessage,
     },
-    /// The configuration names these keepers.
+    /// The configuration contains a new roster.
     RosterChanged(ClaimRoster),
-    /// Time passed; due about every second.
+    /// Timer tick; expected about every second.
     Tick,
 }
--- a/crates/core/src/claim/claim_outcome.rs
+++ b/crates/core/src/claim/claim_outcome.rs
@@ -4,19 +4,19 @@
 
 use super::ClaimGrant;
 
-/// Outcome of a claim. Whatever it is, at most one claim on a key is ever granted and not released
-/// within the claim lifetime.
+/// Outcome of a claim. Within the claim lifetime, at most one claim on a key is granted and not
+/// released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// The request may run.
     Granted(ClaimGrant),
-    /// Another submission of the key ran, runs or may run.
+    /// Another request with the same key ran, runs or may run.
     AlreadyClaimed,
-    /// The key is older than claims are remembered; it is never granted.
+    /// The key is older than the claim lifetime, so it is never granted.
     KeyExpired,
-    /// No majority of keepers could vouch for the key. This submission does not run.
+    /// No majority of keepers granted the claim. The request does not run.
     Unavailable {
-        /// When a new submission may be granted.
+        /// Time after which a new claim may be granted.
         retry_after: Duration,
     },
 }
--- a/crates/core/src/claim/claim_record.rs
+++ b/crates/core/src/claim/claim_record.rs
@@ -1,19 +1,19 @@
-//! A claim that a keeper remembers.
+//! A claim in a page of records.
 
 use serde::{Deserialize, Serialize};
 
 use super::{ClaimId, KeyDigest};
 
-/// A claim that a keeper remembers.
+/// A claim stored by a keeper, as sent in a page of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The key.
+    /// Digest of the key.
     #[serde(rename = "k")]
     pub digest: KeyDigest,
-    /// The claim.
+    /// The claim that holds the key.
     #[serde(rename = "c")]
     pub claim: ClaimId,
-    /// The second after which it may be forgotten.
+    /// Second after which the claim expires.
     #[serde(rename = "t")]
     pub forget_after_second: u32,
 }
--- a/crates/core/src/claim/claim_release.rs
+++ b/crates/core/src/claim/claim_release.rs
@@ -4,11 +4,11 @@
 
 use super::{ClaimId, KeyDigest};
 
-/// Gives a key back: the claim's request certainly did not run and never will.
+/// Releases a claim on a key: the claim's request certainly did not run and never will.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRelease {
     /// The claim.
     pub claim: ClaimId,
-    /// The key.
+    /// Digest of the key.
     pub digest: KeyDigest,
 }
--- a/crates/core/src/claim/claim_roster.rs
+++ b/crates/core/src/claim/claim_roster.rs
@@ -1,4 +1,4 @@
-//! Who keeps claims.
+//! The keeper groups of a deployment.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,36 +7,36 @@
 
 use super::{KeeperGroup, KeyDigest};
 
-/// Who keeps the claims of which keys; part of the configuration, so every process that acts on
-/// a version of it sees the same.
+/// Assigns keys to keeper groups. It is part of the configuration, so all processes with the same
+/// configuration version use the same roster.
 ///
-/// The number of groups is set when the roster is founded and never changes: it decides which
-/// group keeps a key.
+/// The number of groups is set when the roster is created and never changes, because it determines
+/// which group stores the claims on a key.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ClaimRoster {
-    /// When the first roster of the deployment was written: nothing was ever claimed before.
-    /// `None` once the groups had to be founded anew after their keepers were lost.
+    /// When the first roster of the deployment was written; no claim was granted before. `None`
+    /// once the groups had to be recreated because their keepers were lost.
     #[serde(default)]
     pub founded_at: Option<Timestamp>,
-    /// The groups; a key belongs to the group at its digest modulo their number.
+    /// The groups; a key belongs to the group whose index is the key's digest modulo their number.
     #[serde(default)]
     pub groups: Vec<KeeperGroup>,
-    /// Version of the configuration that last changed it.
+    /// Version of the configuration that last changed the roster.
     #[serde(default)]
     pub version: ResourceVersion,
 }
 
 impl ClaimRoster {
-    /// Epoch of the groups of the first roster.
+    /// Epoch of the groups in the first roster.
     pub const FIRST_EPOCH: u64 = 1;
 
-    /// Position of the group that keeps `digest`; `None` while the roster is empty.
+    /// Index of the group that stores claims on `digest`; `None` while the roster is empty.
     pub fn group_index(&self, digest: KeyDigest) -> Option<usize> {
         let count = self.groups.len() as u128;
         (count > 0).then(|| (digest.0 % count) as usize)
     }
 
-    /// The group that keeps `digest`.
+    /// The group that stores claims on `digest`; `None` while the roster is empty.
     pub fn group_of(&self, digest: KeyDigest) -> Option<&KeeperGroup> {
         self.groups.get(self.group_index(digest)?)
     }
--- a/crates/core/src/claim/claim_settings.rs
+++ b/crates/core/src/claim/claim_settings.rs
@@ -2,30 +2,34 @@
 
 use std::time::Duration;
 
-/// Settings of claims; the same on every router process of a deployment.
+/// Settings of claims; they must be the same in all router processes of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// How long a claim is remembered. A time-ordered key older than this is never granted; of any
-    /// other key two submissions within it run at most once while a majority of its keepers lives.
+    /// How long a claim is stored. A time-ordered key older than this is never granted. Two
+    /// requests with the same opaque key within this time run at most once as long as a majority of
+    /// its keepers stays up.
     pub lifetime: Duration,
-    /// Two submissions within this time of a key that is not time-ordered run at most once whatever
-    /// restarts. For as long such keys are refused when a majority of their keepers restarted.
+    /// Two requests with the same opaque key (one without an issue time) within this time run at
+    /// most once, whatever restarts. In return, after a majority of its keepers has restarted, an
+    /// opaque key is refused for this time.
     pub opaque_key_lifetime: Duration,
-    /// The most that clocks of callers and router processes may differ.
+    /// Maximum difference between the clocks of callers and router processes.
     pub clock_tolerance: Duration,
-    /// How long a claiming process waits for votes.
+    /// Maximum time that a claiming process waits for votes.
     pub vote_timeout: Duration,
-    /// How long after asking a granted request may still be sent to a back end.
+    /// Time from requesting the votes within which a granted request may be sent to a back end.
     pub grant_validity: Duration,
-    /// Time between sends of a release that is not acknowledged.
+    /// Interval at which an unacknowledged release is sent again.
     pub release_interval: Duration,
-    /// Sends of a release before it is given up; the key then stays claimed for the lifetime. They
-    /// go on for longer than a silent stream to a keeper is believed (10 s and a connect), so that
-    /// some go over the next one.
+    /// Maximum number of times a release is sent; if none is acknowledged, the key stays claimed
+    /// for the lifetime. Together with `release_interval` this is longer than it takes to detect
+    /// and replace a dead stream to a keeper (10 s plus a connect), so that some sends use the new
+    /// stream.
     pub max_release_sends: u32,
-    /// What a caller is told to wait when nothing better is known.
+    /// Default time after which a refused caller may retry.
     pub retry_after: Duration,
-    /// Claims a keeper remembers at most; beyond it new claims are refused, none is forgotten.
+    /// Maximum number of claims that a keeper stores. Once it is reached, new claims are refused
+    /// and none is evicted.
     pub keeper_capacity: usize,
 }
 
--- a/crates/core/src/claim/claim_verdict.rs
+++ b/crates/core/src/claim/claim_verdict.rs
@@ -1,30 +1,32 @@
-//! What a keeper says to a claim.
+//! Verdict of a keeper on a claim.
 
 use serde::{Deserialize, Serialize};
 
 use crate::timestamp::Timestamp;
 
-/// What a keeper says to a claim.
+/// Verdict of a keeper on a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimVerdict {
-    /// No other claim on the key was granted by this keeper, and it would remember if one had.
+    /// The claim is granted: this keeper has granted no other claim on the key, which its records
+    /// would contain.
     Granted,
     /// Another claim holds the key.
     Held,
-    /// This keeper started too recently to know whether the key was claimed; it will know of keys
-    /// like this one from the given time on.
+    /// The records of this keeper do not reach back far enough to tell whether the key was claimed,
+    /// because it became a keeper too recently, or the key's issue time lies in the future.
     Forgetful {
-        /// When it will know.
+        /// Earliest time at which the keeper can vote on keys like this one.
         until: Timestamp,
     },
-    /// The key is older than claims are remembered; it is never granted again.
+    /// The key is older than the claim lifetime, so it is never granted again.
     Expired,
-    /// The memory for claims is full.
+    /// The keeper has reached its capacity of stored claims.
     Full,
-    /// The asker's keeper group is not the one this keeper knows.
+    /// The request's epoch differs from the one that this process knows, or this process is not a
+    /// keeper of the key.
     OtherEpoch {
-        /// The epoch it knows; `None` when it is no keeper of the key.
+        /// The epoch that this process knows; `None` if its roster is empty.
         epoch: Option<u64>,
     },
 }
--- a/crates/core/src/claim/claim_vote.rs
+++ b/crates/core/src/claim/claim_vote.rs
@@ -9,8 +9,8 @@
 pub struct ClaimVote {
     /// The claim.
     pub claim: ClaimId,
-    /// The key.
+    /// Digest of the key.
     pub digest: KeyDigest,
-    /// What the keeper says.
+    /// The keeper's verdict.
     pub verdict: ClaimVerdict,
 }
--- a/crates/core/src/claim/expiry_queue.rs
+++ b/crates/core/src/claim/expiry_queue.rs
@@ -1,10 +1,10 @@
-//! Keys by the second in which they may be forgotten.
+//! Keys by the second in which their claims expire.
 
 use std::collections::BTreeMap;
 
 use super::KeyDigest;
 
-/// Keys by the second in which they may be forgotten.
+/// Keys by the second in which their claims expire.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ExpiryQueue {
     by_second: BTreeMap<u32, Vec<KeyDigest>>,
@@ -15,8 +15,8 @@
         self.by_second.entry(second).or_default().push(digest);
     }
 
-    /// Keys from `second` on, whole seconds together, at least `count` if there are as many; and
-    /// the second where the rest begins.
+    /// Keys that expire in `second` or later, in whole seconds until at least `count` are
+    /// collected, and the first second not included, if keys are left.
     pub fn from(&self, second: u32, count: usize) -> (Vec<(u32, KeyDigest)>, Option<u32>) {
         let mut keys = Vec::new();
         for (second, digests) in self.by_second.range(second..) {
@@ -28,7 +28,7 @@
         (keys, None)
     }
 
-    /// Takes the keys of one second that lies before `second`.
+    /// Removes and returns the keys of the earliest second, if it lies before `second`.
     pub fn pop_before(&mut self, second: u32) -> Option<Vec<KeyDigest>> {
         let entry = self.by_second.first_entry()?;
         (*entry.key() < second).then(|| entry.remove())
--- a/crates/core/src/claim/keeper_planner.rs
+++ b/crates/core/src/claim/keeper_planner.rs
@@ -1,4 +1,4 @@
-//! Choice of keepers over time.
+//! Selection of keepers and changes of keeper groups.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,20 +11,21 @@
     KeeperPlannerEvent, KeeperPlannerSettings,
 };
 
-/// Founds the roster of keepers, replaces keepers that are gone and settles each change.
+/// Creates the roster of keepers, replaces absent keepers and completes each change.
 ///
-/// Runs on the holder of the director lease; two at once do no harm, because a roster is written
-/// only over the version it was made from.
+/// Runs on the holder of the director lease. Two planners at the same time are harmless, because a
+/// roster is written only if the version it was derived from is still current.
 ///
-/// Invariants that keep a key from being granted by two epochs: a group never shrinks, and a
-/// change is settled (its joiners vote) only when a majority of the previous keepers has adopted
-/// the new epoch, so that the old epoch can't reach a majority any more. Without such a majority a
-/// group is founded anew only when the machines of a majority of its keepers are gone.
+/// Two invariants prevent a key from being granted in two epochs: a group never shrinks, and a
+/// change is completed, which lets the new keepers vote, only after a majority of the previous
+/// keepers has adopted the new epoch, so that the old epoch cannot reach a majority any more.
+/// Without such a majority, a group is recreated only once the machines of a majority of its
+/// keepers are gone.
 #[derive(Debug, Clone)]
 pub struct KeeperPlanner {
     settings: KeeperPlannerSettings,
     roster: ClaimRoster,
-    /// When nodes were first seen; kept while there is no roster.
+    /// When each node was first seen; only used until a roster exists.
     first_seen: BTreeMap<NodeName, Timestamp>,
     absent_since: BTreeMap<NodeName, Timestamp>,
     machine_gone_since: BTreeMap<NodeName, Timestamp>,
@@ -34,7 +35,7 @@
 }
 
 impl KeeperPlanner {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner with an empty roster.
     pub fn new(settings: KeeperPlannerSettings) -> Self {
         Self {
             settings,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Takes an event and appends what must be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: KeeperPlannerEvent,
@@ -197,8 +198,8 @@
         (next != self.roster).then_some(next)
     }
 
-    /// Whether no majority that could still grant is left: of the keepers, or of those before
-    /// while a change is not settled.
+    /// Whether the machines of a majority of the voters have been gone for `recreate_after`. The
+    /// voters are the keepers, or the previous keepers while a change is not completed.
     fn has_lost_majority(&self, group: &KeeperGroup, now: Timestamp) -> bool {
         let recreate_after = self.settings.recreate_after;
         let voters = if group.previous.is_empty() {
--- a/crates/core/src/claim/keeper_planner_action.rs
+++ b/crates/core/src/claim/keeper_planner_action.rs
@@ -1,14 +1,15 @@
-//! What the choice of keepers wants done.
+//! Actions of the keeper planner.
 
 use derive_more::From;
 
 use super::{ClaimEnvelope, ClaimRoster};
 
-/// What a [`super::KeeperPlanner`] wants done.
+/// Actions that a [`super::KeeperPlanner`] requests.
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 pub enum KeeperPlannerAction {
     /// Send a message.
     Send(ClaimEnvelope),
-    /// Write this roster into the configuration, if its `version` is still the one in force.
+    /// Write this roster to the configuration, provided that its `version` is still the current
+    /// one.
     Propose(ClaimRoster),
 }
--- a/crates/core/src/claim/keeper_planner_event.rs
+++ b/crates/core/src/claim/keeper_planner_event.rs
@@ -1,4 +1,4 @@
-//! What happens to the choice of keepers.
+//! Events of the keeper planner.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,23 +6,23 @@
 
 use super::{ClaimRoster, EpochConfirmation};
 
-/// What happens to a [`super::KeeperPlanner`].
+/// Events that a [`super::KeeperPlanner`] handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeeperPlannerEvent {
-    /// The configuration names these keepers.
+    /// The configuration contains a new roster.
     RosterChanged(ClaimRoster),
-    /// Membership as known now; due about every second.
+    /// Current membership; expected about every second.
     MembersSeen {
-        /// Nodes that are alive, with their zones.
+        /// Live nodes with their zones.
         alive: BTreeMap<NodeName, ZoneName>,
-        /// Known nodes whose machines a current machine list does not show.
+        /// Known nodes whose machines are missing from a current machine list.
         gone: BTreeSet<NodeName>,
     },
     /// A keeper confirmed an epoch.
     Confirmed {
         /// The keeper.
         from: NodeName,
-        /// What it confirmed.
+        /// The confirmed epoch.
         confirmation: EpochConfirmation,
     },
 }
--- a/crates/core/src/claim/keeper_planner_settings.rs
+++ b/crates/core/src/claim/keeper_planner_settings.rs
@@ -1,27 +1,30 @@
-//! Settings of the choice of keepers.
+//! Settings of the keeper planner.
 
 use std::time::Duration;
 
-/// Settings of the choice of keepers.
+/// Settings of the [`KeeperPlanner`](super::KeeperPlanner).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeeperPlannerSettings {
-    /// Keepers in a group, if there are as many nodes; odd, so that none is idle.
+    /// Keepers per group, if there are enough nodes. Odd, because an even group tolerates no more
+    /// failures than one with a keeper less.
     pub group_size: usize,
-    /// Groups at most.
+    /// Maximum number of groups.
     pub max_groups: usize,
-    /// The first roster is written when no node has joined for this long, and names only nodes
-    /// seen for this long, so that their clocks, too, say that they were up before it. Longer
-    /// than the clock tolerance of claims.
+    /// The first roster is written once no node has joined for this time, and contains only nodes
+    /// seen for at least this time. This is longer than the clock tolerance of claims, so that by
+    /// its own clock, too, each of these nodes was up before the roster was written.
     pub bootstrap_quiet_period: Duration,
-    /// The first roster waits no longer than this for nodes that join.
+    /// Maximum time that the first roster waits for further nodes to join.
     pub bootstrap_max_wait: Duration,
-    /// A keeper absent for longer is replaced while a majority of its group is there.
+    /// A keeper is replaced after being absent for this time, provided that a majority of its group
+    /// stays.
     pub replace_after: Duration,
-    /// A group whose majority is off the machine list for longer is founded anew.
+    /// A group is recreated after a majority of its keepers has been missing from the machine list
+    /// for this time.
     pub recreate_after: Duration,
-    /// Time between questions to keepers.
+    /// Interval between requests to the previous keepers to confirm a new epoch.
     pub confirm_interval: Duration,
-    /// A proposal that is not in force after this time is made again.
+    /// Time after which a proposed roster that has not taken effect is proposed again.
     pub proposal_timeout: Duration,
 }
 
--- a/crates/core/src/claim/keeper_selector.rs
+++ b/crates/core/src/claim/keeper_selector.rs
@@ -1,4 +1,4 @@
-//! Choice of keepers among the nodes that are alive.
+//! Selection of keepers among the live nodes.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
 
 use super::KeeperGroup;
 
-/// Chooses keepers so that groups spread over zones and nodes serve equally many groups.
+/// Selects keepers so that each group is spread over zones and all nodes belong to about as many
+/// groups.
 pub(super) struct KeeperSelector<'a> {
     alive: &'a BTreeMap<NodeName, ZoneName>,
     groups_served: BTreeMap<NodeName, usize>,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Adds keepers to `keepers` until there are `size` or no node is left.
+    /// Adds nodes to `keepers` until there are `size` of them or no live node is left.
     pub fn fill(&mut self, group_index: usize, keepers: &mut Vec<NodeName>, size: usize) {
         while keepers.len() < size {
             let Some(keeper) = self.best(group_index, keepers) else {
--- a/crates/core/src/claim/key_digest.rs
+++ b/crates/core/src/claim/key_digest.rs
@@ -8,10 +8,11 @@
 
 use crate::identity::{IdempotencyKey, TenantName};
 
-/// Separates tenant and key in the digest; no tenant name holds it.
+/// Separates tenant and key in the hash input; tenant names never contain it.
 const SEPARATOR: &[u8] = &[0];
 
-/// Digest of a tenant's idempotency key; keys of different tenants never meet.
+/// Digest of a tenant's idempotency key. The tenant is part of the hash input, so equal keys of
+/// different tenants have different digests.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -20,7 +21,7 @@
 pub struct KeyDigest(pub u128);
 
 impl KeyDigest {
-    /// The digest of `key` of `tenant`.
+    /// Computes the digest of `tenant`'s `key`.
     pub fn of(tenant: &TenantName, key: &IdempotencyKey) -> Self {
         let mut hasher = Xxh3::new();
         hasher.update(tenant.as_str().as_bytes());
--- a/crates/core/src/claim/key_time.rs
+++ b/crates/core/src/claim/key_time.rs
@@ -14,7 +14,8 @@
 const VARIANT_RFC: u128 = 0b10 << VARIANT_SHIFT;
 const RANDOM_MASK: u128 = (1 << TIME_SHIFT) - 1;
 
-/// When a key was issued, if its text says so: a UUID version 7 does, any other text does not.
+/// Issue time of a key. Only a UUID version 7 contains one; any other key is opaque and gives
+/// `None`.
 pub fn issued_at(key: &IdempotencyKey) -> Option<Timestamp> {
     let uuid = parse_uuid(key.as_str())?;
     let time_ordered = uuid & VERSION_MASK == VERSION_7 && uuid & VARIANT_MASK == VARIANT_RFC;
@@ -22,7 +23,7 @@
     time_ordered.then(|| Timestamp::from_millis(millis))
 }
 
-/// A fresh time-ordered key for a request whose caller sent none.
+/// Creates a time-ordered key for a request whose caller sent no key.
 pub fn time_ordered_key(now: Timestamp, random: u128) -> IdempotencyKey {
     let time = u128::from(now.as_millis()) << TIME_SHIFT;
     let free = random & RANDOM_MASK & !VERSION_MASK & !VARIANT_MASK;
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -1,9 +1,10 @@
 //! At-most-once execution over all router processes.
 //!
-//! A request marked as not to be repeated is dispatched only after its idempotency key was claimed
-//! at a majority of a small group of keepers. [`ClaimClient`] asks, [`ClaimKeeper`] remembers,
-//! [`KeeperPlanner`] chooses who keeps.
-//! `docs/design/at-most-once.md` gives the reasons and the availability cost.
+//! A request that may run at most once is dispatched only after a majority of a small group of
+//! router processes, the keepers, has granted a claim on its idempotency key. [`ClaimClient`]
+//! requests the votes, [`ClaimKeeper`] votes and stores granted claims, and [`KeeperPlanner`]
+//! selects the keepers. `docs/design/at-most-once.md` describes the design and its availability
+//! cost.
 
 mod claim_client;
 mod claim_client_action;
--- a/crates/core/src/claim/pending_claim.rs
+++ b/crates/core/src/claim/pending_claim.rs
@@ -19,8 +19,8 @@
 }
 
 impl PendingClaim {
-    /// Takes the first verdict of a keeper of the group; a second one of the same keeper would
-    /// count one memory twice.
+    /// Records the verdict of a keeper of the group. Only the first one counts, so that no keeper
+    /// votes twice.
     pub fn record(&mut self, keeper: NodeName, verdict: ClaimVerdict) {
         if self.group.keepers.contains(&keeper) {
             self.verdicts.entry(keeper).or_insert(verdict);
@@ -31,7 +31,7 @@
         self.count(ClaimVerdict::Granted) >= self.group.majority()
     }
 
-    /// Whether no votes still to come can make a majority.
+    /// Whether a majority cannot be reached even if all outstanding votes grant the claim.
     pub fn cannot_succeed(&self) -> bool {
         let outstanding = self.group.keepers.len() - self.verdicts.len();
         self.count(ClaimVerdict::Granted) + outstanding < self.group.majority()
@@ -41,7 +41,8 @@
         self.count(verdict) > 0
     }
 
-    /// When enough forgetful keepers will know again for a majority.
+    /// When a majority of the keepers has granted the claim or covers the key again; `None` if too
+    /// few keepers stated this.
     pub fn majority_knows_from(&self) -> Option<Timestamp> {
         let mut majority_knows_from: Vec<Timestamp> = self
             .verdicts
--- a/crates/core/src/claim/record_coverage.rs
+++ b/crates/core/src/claim/record_coverage.rs
@@ -1,12 +1,12 @@
-//! How far back a keeper's memory reaches.
+//! How far back a keeper's records reach.
 
 use crate::timestamp::Timestamp;
 
-/// How far back a keeper's memory of one group's claims reaches.
+/// How far back a keeper's records of one group reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordCoverage {
-    /// It remembers all that was ever granted in its name.
+    /// The records contain all claims ever granted in the keeper's name.
     Whole,
-    /// It remembers all that was granted in its name at or after this time.
+    /// The records contain all claims granted in the keeper's name at or after this time.
     Since(Timestamp),
 }
--- a/crates/core/src/claim/records_copy.rs
+++ b/crates/core/src/claim/records_copy.rs
@@ -1,4 +1,4 @@
-//! Copy of the other keepers' memory after a start.
+//! Copying of the other keepers' records after a start.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,20 @@
 
 use super::{KeeperGroup, RecordsRequest};
 
-/// Copy of the other keepers' memory of one group, on its way.
+/// An unfinished copy of the other keepers' records of one group.
 #[derive(Debug, Clone)]
 pub(super) struct RecordsCopy {
     pub epoch: u64,
     pub round: u64,
-    /// Not before every ask that a process of this name may have voted on has lapsed.
+    /// Start of the copy, late enough that every vote request on which an earlier process of this
+    /// name may have voted has expired.
     pub start_at: Timestamp,
     pub retry_at: Timestamp,
-    /// The oldest claims that are copied.
+    /// All claims granted at or after this time are copied.
     pub copied_since: Timestamp,
-    /// Where each keeper's copy goes on.
+    /// Next expiry second to request from each keeper whose records are not yet copied completely.
     pub cursors: BTreeMap<NodeName, u32>,
-    /// Since when the keepers remember whose copies are whole.
+    /// Keepers whose records are copied completely, each with the start of its coverage.
     pub complete_since: BTreeMap<NodeName, Timestamp>,
 }
 
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The question that `keeper` should get now, if any.
+    /// The next request to send to `keeper`; `None` if its records are copied completely.
     pub fn request_for(&self, group: usize, keeper: &NodeName) -> Option<RecordsRequest> {
         let from_second = *self.cursors.get(keeper)?;
         Some(RecordsRequest {
@@ -47,8 +48,8 @@
         })
     }
 
-    /// Since when all granted claims are known, once enough copies are whole: any majority that
-    /// granted a claim has a member among the keepers that were copied.
+    /// The time from which all granted claims are known. `None` until enough keepers are copied
+    /// that every majority that granted a claim includes one of them.
     pub fn known_since(&self, group: &KeeperGroup) -> Option<Timestamp> {
         let needed = group.keepers.len() - group.majority() + 1;
         let mut since: Vec<Timestamp> = self.complete_since.values().copied().collect();
--- a/crates/core/src/claim/records_page.rs
+++ b/crates/core/src/claim/records_page.rs
@@ -1,4 +1,4 @@
-//! Copies of a keeper's memory.
+//! A page of a keeper's records.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,15 @@
 
 use super::{ClaimRecord, RecordsRequest};
 
-/// A part of what a keeper remembers of a group.
+/// A page of a keeper's records of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsPage {
-    /// The question.
+    /// The request that this page answers.
     pub ask: RecordsRequest,
-    /// The keeper remembers all that was granted in its name at or after this time.
+    /// The keeper's records contain all claims granted in its name at or after this time.
     pub since: Timestamp,
-    /// Claims in order of the second they may be forgotten.
+    /// Claims in order of their expiry second.
     pub claims: Vec<ClaimRecord>,
-    /// Where the next part begins; `None` after the last.
+    /// First expiry second of the next page; `None` on the last page.
     pub next_second: Option<u32>,
 }
--- a/crates/core/src/claim/records_request.rs
+++ b/crates/core/src/claim/records_request.rs
@@ -1,16 +1,16 @@
-//! The question for a part of what a keeper remembers.
+//! Request for a page of a keeper's records.
 
 use serde::{Deserialize, Serialize};
 
-/// Asks a keeper for a part of what it remembers of a group.
+/// Requests a page of a keeper's records of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsRequest {
-    /// Position of the group in the roster.
+    /// Index of the group in the roster.
     pub group: usize,
     /// Epoch of the group.
     pub epoch: u64,
-    /// Tells the answers to one copy from those to an earlier one.
+    /// Number of the copy, which distinguishes its pages from those of an earlier copy.
     pub round: u64,
-    /// Claims that may be forgotten from this second on are wanted.
+    /// First expiry second of the requested claims.
     pub from_second: u32,
 }
--- a/crates/core/src/claim/vote_request.rs
+++ b/crates/core/src/claim/vote_request.rs
@@ -1,4 +1,4 @@
-//! Ask for a claim.
+//! Request for a vote on a claim.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,17 @@
 
 use super::{ClaimId, KeyDigest};
 
-/// Asks a keeper for its vote on a claim.
+/// Requests a keeper's vote on a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
     /// The claim.
     pub claim: ClaimId,
-    /// The key.
+    /// Digest of the key.
     pub digest: KeyDigest,
-    /// When the key was issued; `None` when its text does not say.
+    /// Issue time of the key; `None` for an opaque key.
     pub issued_at: Option<Timestamp>,
-    /// Epoch of the keeper group the asker knows.
+    /// Epoch of the keeper group, as known to the claiming process.
     pub epoch: u64,
-    /// A keeper ignores the ask after this time, so that a delayed copy claims nothing.
+    /// A keeper ignores the request from this time on, so that a delayed message claims nothing.
     pub valid_until: Timestamp,
 }
