--- a/crates/core/src/claim/claim_client.rs
+++ b/crates/core/src/claim/claim_client.rs
@@ -104,14 +104,14 @@
         };
         let claim = self.next_claim_id();
         let vote_deadline = now.after(self.settings.vote_timeout);
-        let ask = VoteRequest {
+        let vote_request = VoteRequest {
             claim,
             digest,
             issued_at,
             epoch: group.epoch,
             valid_until: vote_deadline.after(self.settings.clock_tolerance),
         };
-        push_sends(&group.keepers, &ask.into(), actions);
+        push_sends(&group.keepers, &vote_request.into(), actions);
         let pending = PendingClaim {
             request,
             digest,
--- a/crates/core/src/claim/claim_keeper.rs
+++ b/crates/core/src/claim/claim_keeper.rs
@@ -144,11 +144,11 @@
         sends: &mut Vec<ClaimEnvelope>,
     ) {
         match message {
-            ClaimMessage::Ask(ask) if now < ask.valid_until => {
-                let verdict = self.vote(&ask, now);
+            ClaimMessage::Ask(request) if now < request.valid_until => {
+                let verdict = self.vote(&request, now);
                 let vote = ClaimVote {
-                    claim: ask.claim,
-                    digest: ask.digest,
+                    claim: request.claim,
+                    digest: request.digest,
                     verdict,
                 };
                 sends.push(ClaimEnvelope {
@@ -163,19 +163,24 @@
                     message: ClaimMessage::Released(release),
                 });
             }
-            ClaimMessage::AskMemory(ask) => self.send_records(from, ask, sends),
+            ClaimMessage::AskMemory(request) => self.send_records(from, request, sends),
             ClaimMessage::Memory(page) => self.receive_records(from, page, sends),
-            ClaimMessage::ConfirmEpoch(asked) => self.confirm(from, asked, sends),
+            ClaimMessage::ConfirmEpoch(confirmation) => self.confirm(from, confirmation, sends),
             _ => {}
         }
     }
 
-    fn confirm(&self, from: NodeName, asked: EpochConfirmation, sends: &mut Vec<ClaimEnvelope>) {
-        let group = self.roster.groups.get(asked.group);
-        if group.is_some_and(|group| group.epoch >= asked.epoch) {
+    fn confirm(
+        &self,
+        from: NodeName,
+        confirmation: EpochConfirmation,
+        sends: &mut Vec<ClaimEnvelope>,
+    ) {
+        let group = self.roster.groups.get(confirmation.group);
+        if group.is_some_and(|group| group.epoch >= confirmation.epoch) {
             sends.push(ClaimEnvelope {
                 to: from,
-                message: ClaimMessage::EpochConfirmed(asked),
+                message: ClaimMessage::EpochConfirmed(confirmation),
             });
         }
     }
@@ -185,8 +190,8 @@
         self.settings.vote_timeout + self.settings.clock_tolerance * 3
     }
 
-    /// Requests the records of the other keepers, with which this keeper can vote again long before
-    /// it has been up for a whole claim lifetime.
+    /// Requests the records of the other keepers. With them, this keeper can vote on older keys
+    /// long before it has been up for a whole claim lifetime.
     fn request_records(&mut self, now: Timestamp, sends: &mut Vec<ClaimEnvelope>) {
         let copied_lifetime = self.settings.opaque_key_lifetime + self.settings.clock_tolerance * 4;
         let max_expiry_delay = self.settings.lifetime + self.settings.clock_tolerance * 2;
@@ -205,34 +210,39 @@
                 copy.cursors = others.map(|name| (name.clone(), from_second)).collect();
             }
             for keeper in copy.cursors.keys() {
-                if let Some(ask) = copy.request_for(*index, keeper) {
+                if let Some(request) = copy.request_for(*index, keeper) {
                     sends.push(ClaimEnvelope {
                         to: keeper.clone(),
-                        message: ClaimMessage::AskMemory(ask),
+                        message: ClaimMessage::AskMemory(request),
                     });
                 }
             }
         }
     }
 
-    fn send_records(&self, from: NodeName, ask: RecordsRequest, sends: &mut Vec<ClaimEnvelope>) {
-        let group = self.roster.groups.get(ask.group);
-        if group.is_none_or(|group| group.epoch != ask.epoch) {
+    fn send_records(
+        &self,
+        from: NodeName,
+        request: RecordsRequest,
+        sends: &mut Vec<ClaimEnvelope>,
+    ) {
+        let group = self.roster.groups.get(request.group);
+        if group.is_none_or(|group| group.epoch != request.epoch) {
             return;
         }
-        let since = match self.coverage.get(&ask.group) {
+        let since = match self.coverage.get(&request.group) {
             Some(RecordCoverage::Complete) => Timestamp::ZERO,
             Some(RecordCoverage::Since(since)) => since.after(self.settings.clock_tolerance),
             None => return,
         };
-        let (keys, next_second) = self.expiry.from(ask.from_second, PAGE_CLAIMS);
+        let (keys, next_second) = self.expiry.from(request.from_second, PAGE_CLAIMS);
         let claims = keys
             .iter()
-            .filter(|(_, digest)| self.roster.group_index(*digest) == Some(ask.group))
+            .filter(|(_, digest)| self.roster.group_index(*digest) == Some(request.group))
             .flat_map(|(second, digest)| self.records_expiring_at(*second, *digest))
             .collect();
         let page = RecordsPage {
-            ask,
+            ask: request,
             since,
             claims,
             next_second,
@@ -278,10 +288,10 @@
         match page.next_second {
             Some(next_second) => {
                 copy.cursors.insert(from.clone(), next_second);
-                if let Some(ask) = copy.request_for(index, &from) {
+                if let Some(request) = copy.request_for(index, &from) {
                     sends.push(ClaimEnvelope {
                         to: from,
-                        message: ClaimMessage::AskMemory(ask),
+                        message: ClaimMessage::AskMemory(request),
                     });
                 }
             }
@@ -338,45 +348,48 @@
         }
     }
 
-    fn vote(&mut self, ask: &VoteRequest, now: Timestamp) -> ClaimVerdict {
-        let Some(index) = self.roster.group_index(ask.digest) else {
+    fn vote(&mut self, request: &VoteRequest, now: Timestamp) -> ClaimVerdict {
+        let Some(index) = self.roster.group_index(request.digest) else {
             return ClaimVerdict::OtherEpoch { epoch: None };
         };
         let group = &self.roster.groups[index];
-        if group.epoch != ask.epoch || !group.keepers.contains(&self.name) {
+        if group.epoch != request.epoch || !group.keepers.contains(&self.name) {
             let epoch = Some(group.epoch);
             return ClaimVerdict::OtherEpoch { epoch };
         }
         let Some(coverage) = self.coverage.get(&index).copied() else {
             return ClaimVerdict::Forgetful { until: now };
         };
-        if let Some(record) = self.records.get(&ask.digest) {
-            let has_conflict = self.conflicting_claims.contains_key(&ask.digest);
-            return if record.claim == ask.claim && !has_conflict {
+        if let Some(record) = self.records.get(&request.digest) {
+            let has_conflict = self.conflicting_claims.contains_key(&request.digest);
+            return if record.claim == request.claim && !has_conflict {
                 ClaimVerdict::Granted
             } else {
                 ClaimVerdict::Held
             };
         }
-        if let Some(refusal) = self.refusal(ask, coverage, now) {
+        if let Some(refusal) = self.refusal(request, coverage, now) {
             return refusal;
         }
-        self.store_claim(ask, now);
+        self.store_claim(request, now);
         ClaimVerdict::Granted
     }
 
     fn refusal(
         &self,
-        ask: &VoteRequest,
+        request: &VoteRequest,
         coverage: RecordCoverage,
         now: Timestamp,
     ) -> Option<ClaimVerdict> {
         let tolerance = self.settings.clock_tolerance;
         let oldest = now.before(self.settings.lifetime);
-        if ask.issued_at.is_some_and(|issued_at| issued_at < oldest) {
+        if request
+            .issued_at
+            .is_some_and(|issued_at| issued_at < oldest)
+        {
             return Some(ClaimVerdict::Expired);
         }
-        if ask
+        if request
             .issued_at
             .is_some_and(|issued_at| issued_at > now.after(tolerance))
         {
@@ -384,11 +397,11 @@
         }
         if let RecordCoverage::Since(since) = coverage {
             let safe_from = since.after(tolerance);
-            let until = match ask.issued_at {
+            let until = match request.issued_at {
                 Some(_) => safe_from,
                 None => safe_from.after(self.settings.opaque_key_lifetime),
             };
-            let can_vote = match ask.issued_at {
+            let can_vote = match request.issued_at {
                 Some(issued_at) => issued_at > safe_from,
                 None => now >= until,
             };
@@ -399,18 +412,20 @@
         (self.records.len() >= self.settings.keeper_capacity).then_some(ClaimVerdict::Full)
     }
 
-    fn store_claim(&mut self, ask: &VoteRequest, now: Timestamp) {
-        let lifetime_start = ask.issued_at.map_or(now, |issued_at| issued_at.max(now));
+    fn store_claim(&mut self, request: &VoteRequest, now: Timestamp) {
+        let lifetime_start = request
+            .issued_at
+            .map_or(now, |issued_at| issued_at.max(now));
         let stored_until = lifetime_start
             .after(self.settings.lifetime)
             .after(self.settings.clock_tolerance)
             .after(self.settings.clock_tolerance);
         let record = StoredClaim {
-            claim: ask.claim,
+            claim: request.claim,
             forget_after_second: second_of(stored_until),
         };
-        self.expiry.push(record.forget_after_second, ask.digest);
-        self.records.insert(ask.digest, record);
+        self.expiry.push(record.forget_after_second, request.digest);
+        self.records.insert(request.digest, record);
     }
 
     fn release(&mut self, release: &ClaimRelease) {
--- a/crates/core/src/claim/records_copy.rs
+++ b/crates/core/src/claim/records_copy.rs
@@ -1,4 +1,4 @@
-//! Copying of the other keepers' records after a start.
+//! Copying of the other keepers' records by a new or restarted keeper.
 
 use std::collections::BTreeMap;
 
@@ -11,6 +11,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct RecordsCopy {
     pub epoch: u64,
+    /// Number of the copy; 0 until its first requests are sent.
     pub round: u64,
     /// Start of the copy, late enough that every vote request on which an earlier process of this
     /// name may have voted has expired.
--- a/crates/core/src/dispatch/candidate.rs
+++ b/crates/core/src/dispatch/candidate.rs
@@ -14,7 +14,7 @@
     pub(super) is_probe: bool,
     pub(super) has_room: bool,
     /// Cost in prompt tokens to compute: queued tokens, those of the request, latency, import,
-    /// occupied KV memory and the extra cost of recomputation.
+    /// occupied KV memory and the penalty for recomputation.
     pub(super) cost: f64,
     pub(super) first_token_in: Duration,
     /// Prefix to import before prefill, and its length in tokens.
--- a/crates/core/src/dispatch/dispatch_mechanisms.rs
+++ b/crates/core/src/dispatch/dispatch_mechanisms.rs
@@ -10,9 +10,9 @@
     /// Expects the first engine in candidate order to cache prefixes that other processes sent
     /// there.
     pub cache_prior: bool,
-    /// Adds a cost to recomputation beyond its time to first token, because it delays other
+    /// Adds a penalty for recomputation to the time to first token, because it delays other
     /// requests.
-    pub recompute_price: bool,
+    pub recompute_penalty: bool,
     /// Limits the number of this process's requests in each engine.
     pub engine_windows: bool,
     /// Exports KV cache to the pool's KV store and imports it from there.
@@ -27,7 +27,7 @@
             cache_directory: true,
             prefix_widths: true,
             cache_prior: true,
-            recompute_price: true,
+            recompute_penalty: true,
             engine_windows: true,
             kv_store: true,
             ejection: true,
--- a/crates/core/src/dispatch/dispatch_parameters.rs
+++ b/crates/core/src/dispatch/dispatch_parameters.rs
@@ -43,8 +43,8 @@
     pub max_waiting_counted: f64,
     /// Target number of concurrent requests of one prefix per engine.
     pub requests_per_engine: f64,
-    /// Prefixes stored in each generation of each table.
-    pub remembered_prefixes: usize,
+    /// Maximum number of prefixes per generation of each prefix table.
+    pub prefixes_per_generation: usize,
     /// Time constant of the request rate of a prefix.
     pub request_rate_time_constant: Duration,
     /// Time after the first request during which prefixes may use any engine, because request rates
@@ -56,11 +56,11 @@
     /// Length of the candidate order: further engines in it are tried when those above have no
     /// room.
     pub candidate_limit: usize,
-    /// Extra cost per recomputed token of an interactive request, on top of the computing time.
-    pub interactive_recompute_price: f64,
-    /// Extra cost per recomputed token of a batch request, which can wait for the engine that
-    /// caches its prefix.
-    pub batch_recompute_price: f64,
+    /// Penalty per recomputed token of an interactive request, added to the computing time.
+    pub interactive_recompute_penalty: f64,
+    /// Penalty per recomputed token of a batch request, which can wait for the engine that caches
+    /// its prefix.
+    pub batch_recompute_penalty: f64,
     /// Requests waiting in an engine above which its window shrinks.
     pub waiting_threshold: u32,
     /// Expected time a cache retains an unused prefix, until it has been measured.
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Extra cost per recomputed token, on top of the computing time; 0 when the mechanism is off.
-    pub fn recompute_price(&self, priority: Priority) -> f64 {
-        if !self.mechanisms.recompute_price {
+    /// Penalty per recomputed token, added to the computing time; 0 if the mechanism is disabled.
+    pub fn recompute_penalty(&self, priority: Priority) -> f64 {
+        if !self.mechanisms.recompute_penalty {
             return 0.0;
         }
         match priority {
-            Priority::Interactive => self.interactive_recompute_price,
-            Priority::Batch => self.batch_recompute_price,
+            Priority::Interactive => self.interactive_recompute_penalty,
+            Priority::Batch => self.batch_recompute_penalty,
         }
     }
 }
@@ -120,13 +120,13 @@
             tokens_per_waiting_request: 3_000.0,
             max_waiting_counted: 16.0,
             requests_per_engine: 4.0,
-            remembered_prefixes: 8_192,
+            prefixes_per_generation: 8_192,
             request_rate_time_constant: Duration::from_secs(20),
             warm_up: Duration::from_secs(10),
             scored_candidates: 8,
             candidate_limit: 32,
-            interactive_recompute_price: 60.0,
-            batch_recompute_price: 60.0,
+            interactive_recompute_penalty: 60.0,
+            batch_recompute_penalty: 60.0,
             waiting_threshold: 128,
             retention: Duration::from_secs(20),
             zone_latency: Duration::from_millis(2),
--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -80,7 +80,7 @@
         seed: u64,
         parameters: DispatchParameters,
     ) -> Self {
-        let max_prefixes = parameters.remembered_prefixes;
+        let generation_size = parameters.prefixes_per_generation;
         Self {
             data_centre_latencies: SiteDistance::new(data_centre, parameters.data_centre_latency),
             zone,
@@ -92,9 +92,12 @@
             engines: EngineTable::default(),
             pools: BTreeMap::new(),
             queue_expiries: BTreeSet::new(),
-            prefix_rates: PrefixHeat::new(max_prefixes, parameters.request_rate_time_constant),
-            cache_directory: CacheKnowledge::new(max_prefixes),
-            exported_prefixes: ExportedPrefixes::new(max_prefixes, parameters.kv_store_retention),
+            prefix_rates: PrefixHeat::new(generation_size, parameters.request_rate_time_constant),
+            cache_directory: CacheKnowledge::new(generation_size),
+            exported_prefixes: ExportedPrefixes::new(
+                generation_size,
+                parameters.kv_store_retention,
+            ),
             retry_budget: RetryBudget::new(Timestamp::ZERO),
             first_request_at: None,
             tenant_limiter: None,
--- a/crates/core/src/dispatch/dispatcher/attempt_ends.rs
+++ b/crates/core/src/dispatch/dispatcher/attempt_ends.rs
@@ -28,7 +28,7 @@
         let Some(mut ended) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.release(&ended);
+        self.release_capacity(&ended);
         if let Some(observation) = observation {
             self.observe_answer(ended.engine, &ended.request, &observation, now);
             // A refusal may come from another incarnation, so it does not identify the one that ran
@@ -49,7 +49,7 @@
         self.serve_queue(&pool, now, actions);
     }
 
-    pub(super) fn release(&mut self, ended: &AttemptRecord) {
+    pub(super) fn release_capacity(&mut self, ended: &AttemptRecord) {
         let Some(engine) = self.engines.get_mut(ended.engine) else {
             return;
         };
@@ -153,10 +153,10 @@
             engine.retention.missed(age);
         }
     }
-    if let Some(unknown) = expectation.uncertain_range {
-        let found = unknown.hit_share(cached);
+    if let Some(range) = expectation.uncertain_range {
+        let hit_share = range.hit_share(cached);
         pool.cache_hit_estimate
-            .observe(unknown.priority, unknown.tokens(), found);
+            .observe(range.priority, range.tokens(), hit_share);
     }
     let was_idle = expectation.tokens_ahead < 1.0 && expectation.imported.is_none();
     if let Some(first_token_after) = ended.first_token_after
--- a/crates/core/src/dispatch/dispatcher/endings.rs
+++ b/crates/core/src/dispatch/dispatcher/endings.rs
@@ -24,7 +24,7 @@
         let pool_name = record.profile.pool.clone();
         if let Some(attempt) = record.running_attempt {
             if let Some(ended) = self.attempts.remove(&attempt) {
-                self.release(&ended);
+                self.release_capacity(&ended);
                 self.record_health(&ended, AttemptOutcome::Cancelled, now);
             }
             actions.push(DispatchAction::Cancel { attempt });
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -27,9 +27,9 @@
 /// Chooses the engine with the lowest cost for a request, among the first engines in the
 /// deterministic candidate order and those known to cache part of the prompt.
 ///
-/// The cost is the estimated time to first token, expressed in prompt tokens to compute, plus extra
-/// cost for recomputation and occupied KV memory. Running time grows with the number of engines
-/// considered, apart from one rendezvous hash for every engine of the data centres.
+/// The cost is the estimated time to first token, expressed in prompt tokens to compute, plus a
+/// penalty for recomputation and the cost of occupied KV memory. Running time grows with the number
+/// of engines considered, apart from one rendezvous hash for every engine of the data centres.
 pub(super) struct EngineChooser<'a> {
     pub(super) parameters: &'a DispatchParameters,
     pub(super) engines: &'a EngineTable,
@@ -54,7 +54,7 @@
         for data_centres in groups {
             match self.choose_in(data_centres, record, priority) {
                 Ok(choice) => return Ok(choice),
-                Err(why) => error = error.or(why),
+                Err(other) => error = error.or(other),
             }
         }
         Err(error)
@@ -234,7 +234,7 @@
                 start: f64::from(known_cached).max(self.widely_cached_tokens(holders)),
                 end: f64::from(shared.end_tokens),
             })
-            .filter(|unknown| is_first_in_order && unknown.end > unknown.start);
+            .filter(|range| is_first_in_order && range.end > range.start);
         let expected_cached = self.expected_cached(known_cached, uncertain_range, holders);
         let prompt = f64::from(record.profile.prompt_tokens);
         let import = self.import_beyond(expected_cached, record);
@@ -255,12 +255,12 @@
         let latency = self.latency(member);
         let until_first_token = tokens_ahead + uncached_tokens + import_cost;
         let kv_memory_cost = self.kv_memory_cost(engine);
-        let price = uncached_tokens * self.parameters.recompute_price(priority);
+        let penalty = uncached_tokens * self.parameters.recompute_penalty(priority);
         Candidate {
             member,
             is_probe: !engine.health.is_serving(),
             has_room: self.has_room(engine, record, priority),
-            cost: until_first_token + self.pool.tokens_in(latency) + kv_memory_cost + price,
+            cost: until_first_token + self.pool.tokens_in(latency) + kv_memory_cost + penalty,
             first_token_in: self.pool.prefill_time(until_first_token) + latency,
             import: import.map(|point| (point.hash, point.end_tokens)),
             expectation: Expectation {
@@ -309,14 +309,14 @@
         }
         let widely_cached =
             self.widely_cached_tokens(holders) * self.parameters.widely_cached_credit;
-        let found = uncertain_range.map_or(0.0, |unknown| {
+        let likely_cached = uncertain_range.map_or(0.0, |range| {
             let share = self
                 .pool
                 .cache_hit_estimate
-                .expected(unknown.priority, unknown.tokens());
-            unknown.start + share * unknown.tokens()
+                .expected(range.priority, range.tokens());
+            range.start + share * range.tokens()
         });
-        known.max(widely_cached).max(found)
+        known.max(widely_cached).max(likely_cached)
     }
 
     /// Length in tokens of the longest widely cached prefix, which any engine may have cached.
@@ -329,11 +329,11 @@
     }
 
     fn latency(&self, member: &PoolMember) -> Duration {
-        let to_site = self.data_centre_latencies.to(&member.back_end.data_centre);
+        let data_centre_latency = self.data_centre_latencies.to(&member.back_end.data_centre);
         if member.back_end.zone == *self.zone {
-            to_site
+            data_centre_latency
         } else {
-            to_site.max(self.parameters.zone_latency)
+            data_centre_latency.max(self.parameters.zone_latency)
         }
     }
 
--- a/crates/core/src/dispatch/tenant_limiter.rs
+++ b/crates/core/src/dispatch/tenant_limiter.rs
@@ -16,7 +16,7 @@
 /// Admits requests while their tenants have permits, and queues those that wait for permits.
 #[derive(Debug)]
 pub(super) struct TenantLimiter {
-    borrower: LimitBorrower,
+    client: LimitBorrower,
     settings: LimitSettings,
     waiting: BTreeMap<TenantName, VecDeque<RequestProfile>>,
     waiting_count: usize,
@@ -27,7 +27,7 @@
 impl TenantLimiter {
     pub fn new(node: NodeName, started_at: Timestamp, settings: LimitSettings) -> Self {
         Self {
-            borrower: LimitBorrower::new(node, started_at, settings),
+            client: LimitBorrower::new(node, started_at, settings),
             settings,
             waiting: BTreeMap::new(),
             waiting_count: 0,
@@ -36,7 +36,7 @@
     }
 
     pub fn adopt(&mut self, catalog: Arc<Catalog>) {
-        self.borrower.adopt(catalog);
+        self.client.adopt(catalog);
     }
 
     /// Returns the request if it is admitted now; otherwise it is queued or refused.
@@ -49,7 +49,7 @@
         let mut sends = Vec::new();
         let cost = cost_of(&profile);
         let decision = self
-            .borrower
+            .client
             .try_spend(&profile.tenant, &cost, now, &mut sends);
         push_sends(sends, actions);
         match decision {
@@ -82,7 +82,7 @@
         actions: &mut Vec<DispatchAction>,
     ) -> Vec<RequestProfile> {
         let mut sends = Vec::new();
-        self.borrower.receive(from, grant, now, &mut sends);
+        self.client.receive(from, grant, now, &mut sends);
         push_sends(sends, actions);
         self.retry(&grant.tenant, now, actions)
     }
@@ -94,7 +94,7 @@
         actions: &mut Vec<DispatchAction>,
     ) -> Vec<RequestProfile> {
         let mut sends = Vec::new();
-        self.borrower.tick(now, &mut sends);
+        self.client.tick(now, &mut sends);
         push_sends(sends, actions);
         let tenants: Vec<TenantName> = self.waiting.keys().cloned().collect();
         tenants
@@ -122,7 +122,7 @@
             if let DispatchAction::Finish { request, .. } = action
                 && let Some(tenant) = self.admitted.remove(request)
             {
-                self.borrower.stream_ended(&tenant);
+                self.client.stream_ended(&tenant);
             }
         }
     }
@@ -151,7 +151,7 @@
             }
             let mut sends = Vec::new();
             let cost = cost_of(&profile);
-            let decision = self.borrower.retry(tenant, &cost, now, &mut sends);
+            let decision = self.client.retry(tenant, &cost, now, &mut sends);
             push_sends(sends, actions);
             match decision {
                 LimitDecision::Allowed => {
--- a/crates/core/tests/dispatch_placement.rs
+++ b/crates/core/tests/dispatch_placement.rs
@@ -411,7 +411,7 @@
             ..on
         },
         DispatchMechanisms {
-            recompute_price: false,
+            recompute_penalty: false,
             ..on
         },
         DispatchMechanisms {
--- a/crates/testbed/src/compare/ablation.rs
+++ b/crates/testbed/src/compare/ablation.rs
@@ -35,7 +35,7 @@
     },
     Variant {
         name: "no recompute price",
-        switch: |mechanisms| mechanisms.recompute_price = false,
+        switch: |mechanisms| mechanisms.recompute_penalty = false,
     },
     Variant {
         name: "no engine windows",
