--- a/crates/core/src/claim/keeper_group.rs
+++ b/crates/core/src/claim/keeper_group.rs
@@ -27,7 +27,7 @@
     /// Whether `node` is a keeper that may vote: it did not join in a change that is not yet
     /// completed.
     pub fn is_voter(&self, node: &NodeName) -> bool {
-        let settled = self.previous.is_empty() || self.previous.contains(node);
-        settled && self.keepers.contains(node)
+        let is_established = self.previous.is_empty() || self.previous.contains(node);
+        is_established && self.keepers.contains(node)
     }
 }
--- a/crates/core/src/claim/record_coverage.rs
+++ b/crates/core/src/claim/record_coverage.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordCoverage {
     /// The records contain all claims ever granted in the keeper's name.
-    Whole,
+    Complete,
     /// The records contain all claims granted in the keeper's name at or after this time.
     Since(Timestamp),
 }
--- a/crates/core/src/dispatch/dispatch_event.rs
+++ b/crates/core/src/dispatch/dispatch_event.rs
@@ -34,7 +34,7 @@
         observation: Option<EngineObservation>,
     },
     /// The caller disconnected.
-    CallerLeft {
+    CallerDisconnected {
         /// The request.
         request: RequestId,
     },
