--- a/crates/core/src/claim/claim_client.rs
+++ b/crates/core/src/claim/claim_client.rs
@@ -1,4 +1,4 @@
-//! The claiming side.
+//! The claiming side of the protocol.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,25 +9,26 @@
 use super::pending_claim::PendingClaim;
 use super::pending_release::PendingRelease;
 use super::{
-    ClaimAsk, ClaimClientAction, ClaimClientEvent, ClaimGrant, ClaimId, ClaimMessage, ClaimOutcome,
-    ClaimRelease, ClaimRoster, ClaimSend, ClaimSettings, ClaimVerdict, ClaimVote, KeyDigest,
-    issued_at,
+    ClaimClientAction, ClaimClientEvent, ClaimEnvelope, ClaimGrant, ClaimId, ClaimMessage,
+    ClaimOutcome, ClaimRelease, ClaimRoster, ClaimSettings, ClaimVerdict, ClaimVote, KeyDigest,
+    VoteRequest, issued_at,
 };
 
-/// Odd multiplier of the sequence of claim ids (64-bit golden ratio); visits every number once.
+/// Increment between successive claim ids (2^64 divided by the golden ratio). It is odd, so the
+/// sequence visits every 64-bit number once.
 const CLAIM_ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A granted claim whose request is not over yet.
+/// A granted claim whose request has not ended.
 #[derive(Debug, Clone)]
 struct HeldClaim {
     digest: KeyDigest,
     keepers: Vec<NodeName>,
 }
 
-/// Claims keys for the requests of one router process.
+/// Claims idempotency keys for the requests of one router process.
 ///
-/// Invariant: a request is granted at most once, after votes of a majority of one epoch of the
-/// key's keepers, and a released claim is never dispatched.
+/// Invariant: the claim of a request is granted at most once, only by a majority of the key's
+/// keepers in a single epoch, and the request of a released claim is never dispatched.
 #[derive(Debug, Clone)]
 pub struct ClaimClient {
     settings: ClaimSettings,
@@ -39,8 +40,8 @@
 }
 
 impl ClaimClient {
-    /// A client; `seed` must differ between processes and between starts of one process, because
-    /// claim ids follow from it.
+    /// Creates a client. `seed` must differ between processes and between starts of one process,
+    /// because claim ids are derived from it.
     pub fn new(seed: u64, settings: ClaimSettings) -> Self {
         Self {
             settings,
@@ -52,14 +53,14 @@
         }
     }
 
-    /// When the next [`ClaimClientEvent::Tick`] is due.
+    /// When the next [`ClaimClientEvent::Tick`] is due; `None` while nothing is pending.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let decisions = self.pending.values().map(|claim| claim.decide_by);
-        let sends = self.releases.values().map(|release| release.send_at);
+        let decisions = self.pending.values().map(|claim| claim.vote_deadline);
+        let sends = self.releases.values().map(|release| release.next_send_at);
         decisions.chain(sends).min()
     }
 
-    /// Takes an event and appends what must be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: ClaimClientEvent,
@@ -72,7 +73,7 @@
                 tenant,
                 key,
             } => self.request(request, &tenant, &key, now, actions),
-            ClaimClientEvent::NotRun { claim } => self.give_back(claim, now, actions),
+            ClaimClientEvent::NotRun { claim } => self.release_unrun(claim, now, actions),
             ClaimClientEvent::Ended { claim } => {
                 self.held.remove(&claim);
             }
@@ -94,7 +95,7 @@
     ) {
         let issued_at = issued_at(key);
         let digest = KeyDigest::of(tenant, key);
-        let decided = self.decide_alone(issued_at, now);
+        let decided = self.decide_by_age(issued_at, now);
         let group = self.roster.group_of(digest).cloned();
         let (Some(group), None) = (group, decided) else {
             let outcome = decided.unwrap_or(self.unavailable(self.settings.retry_after));
@@ -102,28 +103,28 @@
             return;
         };
         let claim = self.next_claim_id();
-        let decide_by = now.after(self.settings.vote_timeout);
-        let ask = ClaimAsk {
+        let vote_deadline = now.after(self.settings.vote_timeout);
+        let vote_request = VoteRequest {
             claim,
             digest,
             issued_at,
             epoch: group.epoch,
-            valid_until: decide_by.after(self.settings.clock_tolerance),
+            valid_until: vote_deadline.after(self.settings.clock_tolerance),
         };
-        push_sends(&group.keepers, &ask.into(), actions);
+        push_sends(&group.keepers, &vote_request.into(), actions);
         let pending = PendingClaim {
             request,
             digest,
             group,
             asked_at: now,
-            decide_by,
+            vote_deadline,
             verdicts: BTreeMap::new(),
         };
         self.pending.insert(claim, pending);
     }
 
-    /// The outcome that follows from the key's issue time alone.
-    fn decide_alone(&self, issued_at: Option<Timestamp>, now: Timestamp) -> Option<ClaimOutcome> {
+    /// The outcome, if the key's issue time alone determines it.
+    fn decide_by_age(&self, issued_at: Option<Timestamp>, now: Timestamp) -> Option<ClaimOutcome> {
         let issued_at = issued_at?;
         if issued_at < now.before(self.settings.lifetime) {
             return Some(ClaimOutcome::KeyExpired);
@@ -172,12 +173,13 @@
         let Some(pending) = self.pending.get(&claim) else {
             return;
         };
-        let timed_out = now >= pending.decide_by;
-        // A vote that arrives after a long pause of this process is no leave to dispatch.
+        let timed_out = now >= pending.vote_deadline;
+        // After a long pause of this process, a majority that arrives too late must not allow
+        // dispatch.
         if pending.is_granted() && !timed_out {
             self.grant(claim, actions);
-        } else if pending.is_lost() || timed_out {
-            self.lose(claim, now, actions);
+        } else if pending.cannot_succeed() || timed_out {
+            self.fail(claim, now, actions);
         }
     }
 
@@ -200,11 +202,11 @@
         });
     }
 
-    fn lose(&mut self, claim: ClaimId, now: Timestamp, actions: &mut Vec<ClaimClientAction>) {
+    fn fail(&mut self, claim: ClaimId, now: Timestamp, actions: &mut Vec<ClaimClientAction>) {
         let Some(pending) = self.pending.remove(&claim) else {
             return;
         };
-        let outcome = self.outcome_of_loss(&pending, now);
+        let outcome = self.failure_outcome(&pending, now);
         actions.push(ClaimClientAction::Decided {
             request: pending.request,
             outcome,
@@ -212,20 +214,27 @@
         self.start_release(claim, pending.digest, &pending.group.keepers, now, actions);
     }
 
-    fn outcome_of_loss(&self, pending: &PendingClaim, now: Timestamp) -> ClaimOutcome {
-        if pending.any(ClaimVerdict::Held) {
+    fn failure_outcome(&self, pending: &PendingClaim, now: Timestamp) -> ClaimOutcome {
+        if pending.has_verdict(ClaimVerdict::Held) {
             return ClaimOutcome::AlreadyClaimed;
         }
-        if pending.any(ClaimVerdict::Expired) {
+        if pending.has_verdict(ClaimVerdict::Expired) {
             return ClaimOutcome::KeyExpired;
         }
-        let known_in = pending
-            .known_from()
-            .map_or(Duration::ZERO, |known_from| known_from.since(now));
-        self.unavailable(known_in.max(self.settings.retry_after))
+        let wait = pending
+            .majority_knows_from()
+            .map_or(Duration::ZERO, |majority_knows_from| {
+                majority_knows_from.since(now)
+            });
+        self.unavailable(wait.max(self.settings.retry_after))
     }
 
-    fn give_back(&mut self, claim: ClaimId, now: Timestamp, actions: &mut Vec<ClaimClientAction>) {
+    fn release_unrun(
+        &mut self,
+        claim: ClaimId,
+        now: Timestamp,
+        actions: &mut Vec<ClaimClientAction>,
+    ) {
         let Some(held) = self.held.remove(&claim) else {
             return;
         };
@@ -243,8 +252,8 @@
         let release = PendingRelease {
             release: ClaimRelease { claim, digest },
             unacknowledged: keepers.iter().cloned().collect(),
-            sends_left: self.settings.release_sends,
-            send_at: now,
+            sends_left: self.settings.max_release_sends,
+            next_send_at: now,
         };
         self.releases.insert(claim, release);
         self.send_release(claim, now, actions);
@@ -264,7 +273,7 @@
             return;
         }
         pending.sends_left -= 1;
-        pending.send_at = now.after(self.settings.release_interval);
+        pending.next_send_at = now.after(self.settings.release_interval);
         let message = ClaimMessage::Release(pending.release.clone());
         push_sends(&pending.unacknowledged, &message, actions);
     }
@@ -287,7 +296,7 @@
         let due: Vec<ClaimId> = self
             .releases
             .iter()
-            .filter(|(_, release)| release.send_at <= now)
+            .filter(|(_, release)| release.next_send_at <= now)
             .map(|(claim, _)| *claim)
             .collect();
         for claim in due {
@@ -311,7 +320,7 @@
     actions: &mut Vec<ClaimClientAction>,
 ) {
     for keeper in keepers {
-        let send = ClaimSend {
+        let send = ClaimEnvelope {
             to: keeper.clone(),
             message: message.clone(),
         };
--- a/crates/core/src/claim/claim_client_action.rs
+++ b/crates/core/src/claim/claim_client_action.rs
@@ -1,17 +1,17 @@
-//! What a claiming process wants done.
+//! Actions of the claim client.
 
 use derive_more::From;
 
 use crate::identity::RequestId;
 
-use super::{ClaimOutcome, ClaimSend};
+use super::{ClaimEnvelope, ClaimOutcome};
 
-/// What a [`super::ClaimClient`] wants done.
+/// Actions that a [`super::ClaimClient`] requests.
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 pub enum ClaimClientAction {
     /// Send a message.
-    Send(ClaimSend),
-    /// The claim of a request is decided; said once a request.
+    Send(ClaimEnvelope),
+    /// The claim of a request is decided; issued exactly once per request.
     #[from(skip)]
     Decided {
         /// The request.
--- a/crates/core/src/claim/claim_vote.rs
+++ b/crates/core/src/claim/claim_vote.rs
@@ -4,13 +4,13 @@
 
 use super::{ClaimId, ClaimVerdict, KeyDigest};
 
-/// A keeper's answer to a [`super::ClaimAsk`].
+/// A keeper's answer to a [`super::VoteRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimVote {
     /// The claim.
     pub claim: ClaimId,
-    /// The key.
+    /// Digest of the key.
     pub digest: KeyDigest,
-    /// What the keeper says.
+    /// The keeper's verdict.
     pub verdict: ClaimVerdict,
 }
--- a/crates/core/src/claim/keeper_planner.rs
+++ b/crates/core/src/claim/keeper_planner.rs
@@ -1,54 +1,55 @@
-//! Choice of keepers over time.
+//! Selection of keepers and changes of keeper groups.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::identity::{NodeName, ZoneName};
 use crate::timestamp::Timestamp;
 
-use super::keeper_choice::KeeperChoice;
+use super::keeper_selector::KeeperSelector;
 use super::{
-    ClaimMessage, ClaimRoster, ClaimSend, EpochConfirmation, KeeperGroup, KeeperPlannerAction,
+    ClaimEnvelope, ClaimMessage, ClaimRoster, EpochConfirmation, KeeperGroup, KeeperPlannerAction,
     KeeperPlannerEvent, KeeperPlannerSettings,
 };
 
-/// Founds the roster of keepers, replaces keepers that are gone and settles each change.
+/// Creates the roster of keepers, replaces absent keepers and completes each change.
 ///
-/// Runs on the holder of the director lease; two at once do no harm, because a roster is written
-/// only over the version it was made from.
+/// Runs on the holder of the director lease. Two planners at the same time are harmless, because a
+/// roster is written only if the version it was derived from is still current.
 ///
-/// Invariants that keep a key from being granted by two epochs: a group never shrinks, and a
-/// change is settled (its joiners vote) only when a majority of the previous keepers has adopted
-/// the new epoch, so that the old epoch can't reach a majority any more. Without such a majority a
-/// group is founded anew only when the machines of a majority of its keepers are gone.
+/// Two invariants prevent a key from being granted in two epochs: a group never shrinks, and a
+/// change is completed, which lets the new keepers vote, only after a majority of the previous
+/// keepers has adopted the new epoch, so that the old epoch cannot reach a majority any more.
+/// Without such a majority, a group is recreated only once the machines of a majority of its
+/// keepers are gone.
 #[derive(Debug, Clone)]
 pub struct KeeperPlanner {
     settings: KeeperPlannerSettings,
     roster: ClaimRoster,
-    /// When nodes were first seen; kept while there is no roster.
+    /// When each node was first seen; only used until a roster exists.
     first_seen: BTreeMap<NodeName, Timestamp>,
     absent_since: BTreeMap<NodeName, Timestamp>,
-    gone_since: BTreeMap<NodeName, Timestamp>,
+    machine_gone_since: BTreeMap<NodeName, Timestamp>,
     confirmed: BTreeMap<EpochConfirmation, BTreeSet<NodeName>>,
-    confirm_at: Timestamp,
+    next_confirmation_request_at: Timestamp,
     proposed_at: Option<Timestamp>,
 }
 
 impl KeeperPlanner {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner with an empty roster.
     pub fn new(settings: KeeperPlannerSettings) -> Self {
         Self {
             settings,
             roster: ClaimRoster::default(),
             first_seen: BTreeMap::new(),
             absent_since: BTreeMap::new(),
-            gone_since: BTreeMap::new(),
+            machine_gone_since: BTreeMap::new(),
             confirmed: BTreeMap::new(),
-            confirm_at: Timestamp::ZERO,
+            next_confirmation_request_at: Timestamp::ZERO,
             proposed_at: None,
         }
     }
 
-    /// Takes an event and appends what must be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: KeeperPlannerEvent,
@@ -58,8 +59,8 @@
         match event {
             KeeperPlannerEvent::RosterChanged(roster) => self.adopt(roster),
             KeeperPlannerEvent::MembersSeen { alive, gone } => {
-                self.note_presence(&alive, now);
-                self.note_absence(&alive, &gone, now);
+                self.record_presence(&alive, now);
+                self.record_absence(&alive, &gone, now);
                 self.plan(&alive, now, actions);
             }
             KeeperPlannerEvent::Confirmed { from, confirmation } => {
@@ -81,7 +82,7 @@
         });
     }
 
-    fn note_presence(&mut self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) {
+    fn record_presence(&mut self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) {
         self.first_seen.retain(|name, _| alive.contains_key(name));
         if !self.roster.groups.is_empty() {
             self.first_seen.clear();
@@ -92,7 +93,7 @@
         }
     }
 
-    fn note_absence(
+    fn record_absence(
         &mut self,
         alive: &BTreeMap<NodeName, ZoneName>,
         gone: &BTreeSet<NodeName>,
@@ -106,14 +107,14 @@
             .collect();
         self.absent_since
             .retain(|name, _| keepers.contains(name) && !alive.contains_key(name));
-        self.gone_since
+        self.machine_gone_since
             .retain(|name, _| keepers.contains(name) && gone.contains(name));
         for keeper in keepers {
             if !alive.contains_key(keeper) {
                 self.absent_since.entry(keeper.clone()).or_insert(now);
             }
             if gone.contains(keeper) && !alive.contains_key(keeper) {
-                self.gone_since.entry(keeper.clone()).or_insert(now);
+                self.machine_gone_since.entry(keeper.clone()).or_insert(now);
             }
         }
     }
@@ -124,7 +125,7 @@
         now: Timestamp,
         actions: &mut Vec<KeeperPlannerAction>,
     ) {
-        self.ask_for_confirmations(now, actions);
+        self.request_confirmations(now, actions);
         let timeout = self.settings.proposal_timeout;
         if self
             .proposed_at
@@ -133,9 +134,9 @@
             return;
         }
         let next = if self.roster.groups.is_empty() {
-            self.founded(alive, now)
+            self.initial(alive, now)
         } else {
-            self.changed(alive, now)
+            self.updated(alive, now)
         };
         if let Some(roster) = next {
             self.proposed_at = Some(now);
@@ -143,25 +144,25 @@
         }
     }
 
-    fn founded(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
+    fn initial(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
         let first = self.first_seen.values().min()?;
         let last = self.first_seen.values().max()?;
-        let quiet = now >= last.after(self.settings.founding_delay);
-        if !quiet && now < first.after(self.settings.founding_wait) {
+        let no_recent_joins = now >= last.after(self.settings.bootstrap_quiet_period);
+        if !no_recent_joins && now < first.after(self.settings.bootstrap_max_wait) {
             return None;
         }
         let alive: BTreeMap<NodeName, ZoneName> = alive
             .iter()
-            .filter(|(name, _)| self.was_up_before(name, now))
+            .filter(|(name, _)| self.seen_long_enough(name, now))
             .map(|(name, zone)| (name.clone(), zone.clone()))
             .collect();
         let alive = &alive;
         let count = (alive.len() / self.settings.group_size).clamp(1, self.settings.max_groups);
-        let mut choice = KeeperChoice::new(alive, &[]);
+        let mut selector = KeeperSelector::new(alive, &[]);
         let groups = (0..count)
             .map(|index| {
                 let mut keepers = Vec::new();
-                choice.fill(index, &mut keepers, self.settings.group_size);
+                selector.fill(index, &mut keepers, self.settings.group_size);
                 KeeperGroup {
                     epoch: ClaimRoster::FIRST_EPOCH,
                     keepers,
@@ -176,20 +177,20 @@
         })
     }
 
-    fn was_up_before(&self, name: &NodeName, now: Timestamp) -> bool {
+    fn seen_long_enough(&self, name: &NodeName, now: Timestamp) -> bool {
         self.first_seen
             .get(name)
-            .is_some_and(|seen| now >= seen.after(self.settings.founding_delay))
+            .is_some_and(|seen| now >= seen.after(self.settings.bootstrap_quiet_period))
     }
 
-    fn changed(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
-        let mut choice = KeeperChoice::new(alive, &self.roster.groups);
+    fn updated(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
+        let mut selector = KeeperSelector::new(alive, &self.roster.groups);
         let mut next = self.roster.clone();
         for (index, group) in next.groups.iter_mut().enumerate() {
-            if self.is_lost(group, now) {
-                self.found_anew(index, group, &mut choice);
+            if self.has_lost_majority(group, now) {
+                self.recreate_group(index, group, &mut selector);
             } else if group.previous.is_empty() {
-                self.replace_absent(index, group, &mut choice, now);
+                self.replace_absent(index, group, &mut selector, now);
             } else if self.is_confirmed(index, group) {
                 group.previous.clear();
             }
@@ -197,10 +198,10 @@
         (next != self.roster).then_some(next)
     }
 
-    /// Whether no majority that could still grant is left: of the keepers, or of those before
-    /// while a change is not settled.
-    fn is_lost(&self, group: &KeeperGroup, now: Timestamp) -> bool {
-        let lost_after = self.settings.lost_after;
+    /// Whether the machines of a majority of the voters have been gone for `recreate_after`. The
+    /// voters are the keepers, or the previous keepers while a change is not completed.
+    fn has_lost_majority(&self, group: &KeeperGroup, now: Timestamp) -> bool {
+        let recreate_after = self.settings.recreate_after;
         let voters = if group.previous.is_empty() {
             &group.keepers
         } else {
@@ -209,18 +210,23 @@
         let gone = voters
             .iter()
             .filter(|keeper| {
-                self.gone_since
+                self.machine_gone_since
                     .get(*keeper)
-                    .is_some_and(|since| now >= since.after(lost_after))
+                    .is_some_and(|since| now >= since.after(recreate_after))
             })
             .count();
         gone > voters.len() / 2
     }
 
-    fn found_anew(&self, index: usize, group: &mut KeeperGroup, choice: &mut KeeperChoice<'_>) {
+    fn recreate_group(
+        &self,
+        index: usize,
+        group: &mut KeeperGroup,
+        selector: &mut KeeperSelector<'_>,
+    ) {
         let size = group.keepers.len().max(self.settings.group_size);
-        let mut keepers: Vec<NodeName> = self.present(&group.keepers);
-        choice.fill(index, &mut keepers, size);
+        let mut keepers: Vec<NodeName> = self.without_absent(&group.keepers);
+        selector.fill(index, &mut keepers, size);
         if keepers.is_empty() {
             return;
         }
@@ -233,7 +239,7 @@
         &self,
         index: usize,
         group: &mut KeeperGroup,
-        choice: &mut KeeperChoice<'_>,
+        selector: &mut KeeperSelector<'_>,
         now: Timestamp,
     ) {
         let replace_after = self.settings.replace_after;
@@ -249,7 +255,7 @@
             .cloned()
             .collect();
         let majority_stays = keepers.len() >= group.majority();
-        choice.fill(index, &mut keepers, self.settings.group_size.max(old_size));
+        selector.fill(index, &mut keepers, self.settings.group_size.max(old_size));
         if !majority_stays || keepers.len() < old_size || keepers == group.keepers {
             return;
         }
@@ -257,7 +263,7 @@
         group.previous = std::mem::replace(&mut group.keepers, keepers);
     }
 
-    fn present(&self, keepers: &[NodeName]) -> Vec<NodeName> {
+    fn without_absent(&self, keepers: &[NodeName]) -> Vec<NodeName> {
         keepers
             .iter()
             .filter(|keeper| !self.absent_since.contains_key(*keeper))
@@ -275,18 +281,18 @@
         confirmed_by.len() > group.previous.len() / 2
     }
 
-    fn ask_for_confirmations(&mut self, now: Timestamp, actions: &mut Vec<KeeperPlannerAction>) {
-        if now < self.confirm_at {
+    fn request_confirmations(&mut self, now: Timestamp, actions: &mut Vec<KeeperPlannerAction>) {
+        if now < self.next_confirmation_request_at {
             return;
         }
-        self.confirm_at = now.after(self.settings.confirm_interval);
+        self.next_confirmation_request_at = now.after(self.settings.confirm_interval);
         for (index, group) in self.roster.groups.iter().enumerate() {
             for keeper in &group.previous {
                 let confirmation = EpochConfirmation {
                     group: index,
                     epoch: group.epoch,
                 };
-                let send = ClaimSend {
+                let send = ClaimEnvelope {
                     to: keeper.clone(),
                     message: ClaimMessage::ConfirmEpoch(confirmation),
                 };
--- a/crates/core/src/claim/keeper_planner_action.rs
+++ b/crates/core/src/claim/keeper_planner_action.rs
@@ -1,14 +1,15 @@
-//! What the choice of keepers wants done.
+//! Actions of the keeper planner.
 
 use derive_more::From;
 
-use super::{ClaimRoster, ClaimSend};
+use super::{ClaimEnvelope, ClaimRoster};
 
-/// What a [`super::KeeperPlanner`] wants done.
+/// Actions that a [`super::KeeperPlanner`] requests.
 #[derive(Debug, Clone, PartialEq, Eq, From)]
 pub enum KeeperPlannerAction {
     /// Send a message.
-    Send(ClaimSend),
-    /// Write this roster into the configuration, if its `version` is still the one in force.
+    Send(ClaimEnvelope),
+    /// Write this roster to the configuration, provided that its `version` is still the current
+    /// one.
     Propose(ClaimRoster),
 }
--- a/crates/core/src/claim/pending_claim.rs
+++ b/crates/core/src/claim/pending_claim.rs
@@ -14,13 +14,13 @@
     pub digest: KeyDigest,
     pub group: KeeperGroup,
     pub asked_at: Timestamp,
-    pub decide_by: Timestamp,
+    pub vote_deadline: Timestamp,
     pub verdicts: BTreeMap<NodeName, ClaimVerdict>,
 }
 
 impl PendingClaim {
-    /// Takes the first verdict of a keeper of the group; a second one of the same keeper would
-    /// count one memory twice.
+    /// Records the verdict of a keeper of the group. Only the first one counts, so that no keeper
+    /// votes twice.
     pub fn record(&mut self, keeper: NodeName, verdict: ClaimVerdict) {
         if self.group.keepers.contains(&keeper) {
             self.verdicts.entry(keeper).or_insert(verdict);
@@ -31,19 +31,20 @@
         self.count(ClaimVerdict::Granted) >= self.group.majority()
     }
 
-    /// Whether no votes still to come can make a majority.
-    pub fn is_lost(&self) -> bool {
+    /// Whether a majority cannot be reached even if all outstanding votes grant the claim.
+    pub fn cannot_succeed(&self) -> bool {
         let outstanding = self.group.keepers.len() - self.verdicts.len();
         self.count(ClaimVerdict::Granted) + outstanding < self.group.majority()
     }
 
-    pub fn any(&self, verdict: ClaimVerdict) -> bool {
+    pub fn has_verdict(&self, verdict: ClaimVerdict) -> bool {
         self.count(verdict) > 0
     }
 
-    /// When enough forgetful keepers will know again for a majority.
-    pub fn known_from(&self) -> Option<Timestamp> {
-        let mut known_from: Vec<Timestamp> = self
+    /// When a majority of the keepers has granted the claim or covers the key again; `None` if too
+    /// few keepers stated this.
+    pub fn majority_knows_from(&self) -> Option<Timestamp> {
+        let mut majority_knows_from: Vec<Timestamp> = self
             .verdicts
             .values()
             .filter_map(|verdict| match verdict {
@@ -52,8 +53,8 @@
                 _ => None,
             })
             .collect();
-        known_from.sort_unstable();
-        known_from.get(self.group.majority() - 1).copied()
+        majority_knows_from.sort_unstable();
+        majority_knows_from.get(self.group.majority() - 1).copied()
     }
 
     fn count(&self, verdict: ClaimVerdict) -> usize {
--- a/crates/core/src/dispatch/choice.rs
+++ b/crates/core/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an engine for a request.
+//! Result of the selection of an engine for a request.
 
 use std::time::Duration;
 
@@ -24,20 +24,20 @@
 
 /// Why no engine could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Blocked {
-    /// Engines serve, but none has room.
+pub(super) enum NoChoice {
+    /// Engines are serving, but none has room.
     NoRoom {
-        /// Least estimated time to the first token, had there been room.
+        /// Lowest estimated time to first token among these engines, if they had room.
         first_token_in: Duration,
     },
-    /// Engines exist, but none serves; the first may be asked again at `until`.
+    /// Engines exist, but none is serving; the first one may be tried again at `until`.
     Unavailable { until: Timestamp },
-    /// No engine is left that could serve it.
-    None,
+    /// No engine is left that could serve the request.
+    NoEngine,
 }
 
-impl Blocked {
-    /// The more hopeful of two.
+impl NoChoice {
+    /// Combines the results of two groups of engines, keeping the one that allows an earlier retry.
     pub(super) fn or(self, other: Self) -> Self {
         match (self, other) {
             (Self::NoRoom { .. }, _) => self,
@@ -47,8 +47,8 @@
                     until: until.min(later),
                 }
             }
-            (Self::Unavailable { .. }, Self::None) => self,
-            (Self::None, _) => other,
+            (Self::Unavailable { .. }, Self::NoEngine) => self,
+            (Self::NoEngine, _) => other,
         }
     }
 }
--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -1,6 +1,6 @@
-//! The dispatcher.
+//! The dispatcher: its state and the routing of events.
 //!
-//! Here are its state and the way of each event; each step of a request's life has its own module.
+//! Each step of request handling has its own submodule.
 
 mod answers;
 mod attempt_ends;
@@ -28,17 +28,19 @@
 
 use super::attempt_record::AttemptRecord;
 use super::engine_table::EngineTable;
-use super::kept_prefixes::KeptPrefixes;
+use super::exported_prefixes::ExportedPrefixes;
 use super::pool_state::PoolState;
 use super::request_record::RequestRecord;
-use super::tenant_gate::TenantGate;
+use super::tenant_limiter::TenantLimiter;
 use super::{DispatchAction, DispatchEvent, DispatchParameters, RoutingSnapshot};
 
-/// Decides for every request of one router process which back end serves it, and when.
+/// Decides which back end serves each request of one router process, and when.
 ///
-/// Invariants: every submitted request gets exactly one [`DispatchAction::Finish`]; a request that
-/// may run at most once is started again only while every ended attempt certainly did not run; an
-/// attempt number is never used twice.
+/// Invariants:
+/// - Every submitted request gets exactly one [`DispatchAction::Finish`].
+/// - A request that may run at most once is retried only if every ended attempt certainly did not
+///   run.
+/// - An attempt id is never used twice.
 #[derive(Debug)]
 pub struct Dispatcher {
     zone: ZoneName,
@@ -50,36 +52,40 @@
     attempts: BTreeMap<AttemptId, AttemptRecord>,
     engines: EngineTable,
     pools: BTreeMap<PoolName, PoolState>,
-    /// Queued requests by the time at which they are given up.
-    give_up_times: BTreeSet<(Timestamp, RequestId)>,
-    heat: PrefixRequestRates,
-    knowledge: CacheDirectory,
-    kept: KeptPrefixes,
-    distances: DataCentreLatency,
+    /// Queued requests, ordered by the time at which they expire.
+    queue_expiries: BTreeSet<(Timestamp, RequestId)>,
+    prefix_rates: PrefixRequestRates,
+    cache_directory: CacheDirectory,
+    exported_prefixes: ExportedPrefixes,
+    data_centre_latencies: DataCentreLatency,
     retry_budget: RetryBudget,
     first_request_at: Option<Timestamp>,
-    /// `None` while limits of tenants are not enforced.
-    tenant_gate: Option<TenantGate>,
+    /// `None` while tenant limits are not enforced.
+    tenant_limiter: Option<TenantLimiter>,
     stage_meter: StageMeter,
 }
 
 impl Dispatcher {
-    /// A dispatcher of a process in `zone` of `data_centre`; `seed` must be drawn at random at
-    /// every start of a process, so that no two processes ever give the same attempt number.
+    /// Creates the dispatcher of a process in `zone` of `data_centre`. `seed` must be drawn at
+    /// random at every start of a process, so that no two processes ever create the same attempt
+    /// id.
     pub fn new(data_centre: DataCentreName, zone: ZoneName, seed: u64) -> Self {
         Self::with_parameters(data_centre, zone, seed, DispatchParameters::default())
     }
 
-    /// A dispatcher with other than the usual parameters.
+    /// Creates a dispatcher with the given parameters instead of the defaults; see [`Self::new`].
     pub fn with_parameters(
         data_centre: DataCentreName,
         zone: ZoneName,
         seed: u64,
         parameters: DispatchParameters,
     ) -> Self {
-        let remembered = parameters.remembered_prefixes;
+        let generation_size = parameters.prefixes_per_generation;
         Self {
-            distances: DataCentreLatency::new(data_centre, parameters.data_centre_distance),
+            data_centre_latencies: DataCentreLatency::new(
+                data_centre,
+                parameters.data_centre_latency,
+            ),
             zone,
             seed,
             attempts_started: 0,
@@ -88,32 +94,37 @@
             attempts: BTreeMap::new(),
             engines: EngineTable::default(),
             pools: BTreeMap::new(),
-            give_up_times: BTreeSet::new(),
-            heat: PrefixRequestRates::new(remembered, parameters.heat_time_constant),
-            knowledge: CacheDirectory::new(remembered),
-            kept: KeptPrefixes::new(remembered, parameters.kv_store_retention),
+            queue_expiries: BTreeSet::new(),
+            prefix_rates: PrefixRequestRates::new(
+                generation_size,
+                parameters.request_rate_time_constant,
+            ),
+            cache_directory: CacheDirectory::new(generation_size),
+            exported_prefixes: ExportedPrefixes::new(
+                generation_size,
+                parameters.kv_store_retention,
+            ),
             retry_budget: RetryBudget::new(Timestamp::ZERO),
             first_request_at: None,
-            tenant_gate: None,
+            tenant_limiter: None,
             stage_meter: StageMeter::default(),
             parameters,
         }
     }
 
-    /// Enforces limits of tenants from now on; `node` is the process, which started at
-    /// `started_at`.
+    /// Enforces tenant limits from now on. `node` is this process, which started at `started_at`.
     pub fn limit_tenants(
         &mut self,
         node: NodeName,
         started_at: Timestamp,
         settings: LimitSettings,
     ) {
-        let mut gate = TenantGate::new(node, started_at, settings);
-        gate.adopt(Arc::clone(&self.snapshot.catalog));
-        self.tenant_gate = Some(gate);
+        let mut limiter = TenantLimiter::new(node, started_at, settings);
+        limiter.adopt(Arc::clone(&self.snapshot.catalog));
+        self.tenant_limiter = Some(limiter);
     }
 
-    /// Takes an event and appends what must be done to `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: DispatchEvent,
@@ -124,12 +135,12 @@
         self.measure_event(&event, now);
         self.handle_event(event, now, actions);
         self.measure_actions(&actions[before..]);
-        if let Some(gate) = &mut self.tenant_gate {
-            gate.note_finished(&actions[before..]);
+        if let Some(limiter) = &mut self.tenant_limiter {
+            limiter.record_finished(&actions[before..]);
         }
     }
 
-    /// Takes what was measured of a migration stage since the last time.
+    /// Returns the measurement of a migration stage since the previous call.
     pub fn take_measurement(&mut self, stage: &StageName) -> Option<StageMeasurement> {
         self.stage_meter.take(stage)
     }
@@ -176,44 +187,44 @@
             DispatchEvent::AnswerStarted {
                 attempt,
                 observation,
-            } => self.note_answer(attempt, &observation, now),
-            DispatchEvent::FirstToken { attempt } => self.note_first_token(attempt, now),
+            } => self.record_answer(attempt, &observation, now),
+            DispatchEvent::FirstToken { attempt } => self.record_first_token(attempt, now),
             DispatchEvent::AttemptEnded {
                 attempt,
                 outcome,
                 observation,
             } => self.end_attempt(attempt, outcome, observation, now, actions),
-            DispatchEvent::CallerLeft { request } => self.cancel(request, now, actions),
+            DispatchEvent::CallerDisconnected { request } => self.cancel(request, now, actions),
             DispatchEvent::LoadReported {
                 back_end,
                 observation,
-            } => self.note_report(&back_end, &observation, now),
+            } => self.record_load_report(&back_end, &observation, now),
             DispatchEvent::SnapshotPublished(snapshot) => {
-                self.publish(snapshot, now);
+                self.apply_snapshot(snapshot, now);
                 self.serve_all_queues(now, actions);
             }
             DispatchEvent::LimitGranted { from, grant } => {
                 let admitted = self
-                    .tenant_gate
+                    .tenant_limiter
                     .as_mut()
-                    .map(|gate| gate.receive(&from, &grant, now, actions));
+                    .map(|limiter| limiter.receive(&from, &grant, now, actions));
                 self.submit_all(admitted.unwrap_or_default(), now, actions);
             }
             DispatchEvent::Tick => {
                 let admitted = self
-                    .tenant_gate
+                    .tenant_limiter
                     .as_mut()
-                    .map(|gate| gate.tick(now, actions));
+                    .map(|limiter| limiter.tick(now, actions));
                 self.submit_all(admitted.unwrap_or_default(), now, actions);
-                self.give_up_overdue(now, actions);
+                self.refuse_expired(now, actions);
                 self.serve_all_queues(now, actions);
             }
         }
     }
 
-    fn publish(&mut self, snapshot: Arc<RoutingSnapshot>, now: Timestamp) {
-        if let Some(gate) = &mut self.tenant_gate {
-            gate.adopt(Arc::clone(&snapshot.catalog));
+    fn apply_snapshot(&mut self, snapshot: Arc<RoutingSnapshot>, now: Timestamp) {
+        if let Some(limiter) = &mut self.tenant_limiter {
+            limiter.adopt(Arc::clone(&snapshot.catalog));
         }
         let catalog = &snapshot.catalog;
         self.engines.retain(catalog);
@@ -223,7 +234,7 @@
                 .entry(name.clone())
                 .or_insert_with(|| PoolState::new(parameters, now));
         }
-        // A deleted pool stays, without back ends, until its last request has ended.
+        // A deleted pool is retained without back ends until its last request has ended.
         let in_use: BTreeSet<_> = self
             .requests
             .values()
@@ -238,8 +249,8 @@
             let takes_work = back_end.state == BackEndState::Active
                 && !snapshot.leaving.contains(&back_end.name);
             if takes_work {
-                let of_pool = members.entry(&back_end.pool).or_default();
-                of_pool.push(PoolMember::new(key, back_end));
+                let pool_members = members.entry(&back_end.pool).or_default();
+                pool_members.push(PoolMember::new(key, back_end));
             }
         }
         for (name, pool) in &mut self.pools {
--- a/crates/core/src/dispatch/dispatcher/answers.rs
+++ b/crates/core/src/dispatch/dispatcher/answers.rs
@@ -1,4 +1,4 @@
-//! What answers and reports of engines tell while attempts run.
+//! Observations from answers and load reports of engines.
 
 use crate::dispatch::EngineObservation;
 use crate::identity::{AttemptId, BackEndName, RequestId};
@@ -8,7 +8,7 @@
 use super::Dispatcher;
 
 impl Dispatcher {
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &mut self,
         attempt: AttemptId,
         observation: &EngineObservation,
@@ -20,16 +20,17 @@
         record.incarnation = Some(observation.incarnation);
         let key = record.engine;
         let request = record.request.clone();
-        self.distances
+        self.data_centre_latencies
             .observe(&record.data_centre, now.since(record.started_at));
         self.observe_answer(key, &request, observation, now);
         let Some(engine) = self.engines.get_mut(key) else {
             return;
         };
         engine.health.answered();
-        // The cache that is being filled is that of the process that answered.
+        // The prefix is being cached by the process that answered, so its current cache generation
+        // counts.
         if let Some(record) = self.requests.get(&request) {
-            self.knowledge
+            self.cache_directory
                 .record(&record.points, key, engine.epoch(), now);
         }
     }
@@ -45,11 +46,11 @@
             return;
         };
         engine.observe_answer(observation, now);
-        let tolerated = self.parameters.waiting_tolerated;
+        let threshold = self.parameters.waiting_threshold;
         let in_flight = engine.in_flight;
         engine
             .window
-            .observe(observation.waiting, tolerated, in_flight, now);
+            .observe(observation.waiting, threshold, in_flight, now);
         let pool = self
             .requests
             .get(request)
@@ -59,7 +60,7 @@
         }
     }
 
-    pub(super) fn note_first_token(&mut self, attempt: AttemptId, now: Timestamp) {
+    pub(super) fn record_first_token(&mut self, attempt: AttemptId, now: Timestamp) {
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
         };
@@ -68,11 +69,11 @@
         }
         record.first_token_after = Some(now.since(record.started_at));
         if let Some(engine) = self.engines.get_mut(record.engine) {
-            engine.remove_pending(record.priority, record.expectation.missed);
+            engine.remove_pending(record.priority, record.expectation.uncached_tokens);
         }
     }
 
-    pub(super) fn note_report(
+    pub(super) fn record_load_report(
         &mut self,
         back_end: &BackEndName,
         observation: &EngineObservation,
--- a/crates/core/src/dispatch/dispatcher/starting.rs
+++ b/crates/core/src/dispatch/dispatcher/starting.rs
@@ -1,4 +1,4 @@
-//! Starting attempts.
+//! Start of attempts.
 
 use crate::dispatch::attempt_record::AttemptRecord;
 use crate::dispatch::choice::Choice;
@@ -20,7 +20,7 @@
         let attempt = self.next_attempt();
         let record = self.requests.get_mut(&request).expect("request is known");
         record.attempts_made += 1;
-        record.running = Some(attempt);
+        record.running_attempt = Some(attempt);
         record.queued_at = None;
         let priority = record.profile.priority;
         let resumes = match resume {
@@ -32,13 +32,13 @@
             .get_mut(choice.engine)
             .expect("chosen engines are known");
         engine.in_flight += 1;
-        engine.add_pending(priority, choice.expectation.missed, now);
-        engine.note_weights_probe(record.weights_version, now);
+        engine.add_pending(priority, choice.expectation.uncached_tokens, now);
+        engine.record_weights_probe(record.weights_version, now);
         if choice.is_probe {
             engine.health.probe_sent();
         }
         if resumes.is_none() {
-            self.knowledge
+            self.cache_directory
                 .record(&record.points, choice.engine, engine.epoch(), now);
         }
         let back_end = choice.back_end;
@@ -51,8 +51,8 @@
             zone: back_end.zone,
             incarnation: engine.incarnation(),
             weights_version: record.weights_version,
-            // Of a process that has not answered yet nothing may be relied on: it may be another
-            // one than the process that earlier attempts went to.
+            // A process that has not answered yet may differ from the one that earlier attempts
+            // were sent to, so nothing is expected in its cache.
             expected_cached_tokens: engine
                 .incarnation()
                 .map_or(0, |_| choice.expectation.known_cached),
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -1,4 +1,4 @@
-//! Chooses an engine for a request.
+//! Selection of an engine for a request.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,54 +10,54 @@
 };
 use crate::timestamp::Timestamp;
 
-use super::attempt_record::{Expectation, UnknownShared};
+use super::attempt_record::{Expectation, UncertainRange};
 use super::candidate::Candidate;
-use super::choice::{Blocked, Choice};
+use super::choice::{Choice, NoChoice};
 use super::engine_record::EngineRecord;
 use super::engine_table::EngineTable;
-use super::kept_prefixes::KeptPrefixes;
+use super::exported_prefixes::ExportedPrefixes;
 use super::known_holder::KnownHolder;
 use super::pool_state::PoolState;
 use super::request_record::RequestRecord;
 use super::{DispatchParameters, KvExport, KvImport, Priority};
 
-/// Most engines with a known part of a prompt that are considered.
-const MOST_HOLDERS: usize = 8;
+/// The search for engines that cache part of a prompt ends once this many are found.
+const MAX_HOLDERS: usize = 8;
 
-/// Chooses an engine for a request: the one with the least cost among the first in the
-/// deterministic order and those known to hold part of the prompt.
+/// Chooses the engine with the lowest cost for a request, among the first engines in the
+/// deterministic candidate order and those known to cache part of the prompt.
 ///
-/// The cost is the estimated time to the first token, in prompt tokens to compute, plus a price for
-/// recomputation. Work grows with the considered engines, not with all engines, but for one
-/// rendezvous score for each engine of the data centre.
+/// The cost is the estimated time to first token, expressed in prompt tokens to compute, plus a
+/// penalty for recomputation and the cost of occupied KV memory. Running time grows with the number
+/// of engines considered, apart from one rendezvous hash for every engine of the data centres.
 pub(super) struct EngineChooser<'a> {
     pub(super) parameters: &'a DispatchParameters,
     pub(super) engines: &'a EngineTable,
     pub(super) pool: &'a PoolState,
-    pub(super) knowledge: &'a CacheDirectory,
-    pub(super) kept: &'a KeptPrefixes,
+    pub(super) cache_directory: &'a CacheDirectory,
+    pub(super) exported_prefixes: &'a ExportedPrefixes,
     pub(super) kv_store: Option<SocketAddr>,
-    pub(super) distances: &'a DataCentreLatency,
+    pub(super) data_centre_latencies: &'a DataCentreLatency,
     pub(super) zone: &'a ZoneName,
     pub(super) now: Timestamp,
 }
 
 impl EngineChooser<'_> {
-    /// Chooses an engine in the first of these groups of data centres that has one with room.
+    /// Chooses an engine from the first group of data centres that has one with room.
     pub(super) fn choose(
         &self,
         record: &RequestRecord,
         priority: Priority,
         groups: &[Vec<DataCentreName>],
-    ) -> Result<Choice, Blocked> {
-        let mut blocked = Blocked::None;
+    ) -> Result<Choice, NoChoice> {
+        let mut error = NoChoice::NoEngine;
         for data_centres in groups {
             match self.choose_in(data_centres, record, priority) {
                 Ok(choice) => return Ok(choice),
-                Err(why) => blocked = blocked.or(why),
+                Err(other) => error = error.or(other),
             }
         }
-        Err(blocked)
+        Err(error)
     }
 
     fn choose_in(
@@ -65,7 +65,7 @@
         data_centres: &[DataCentreName],
         record: &RequestRecord,
         priority: Priority,
-    ) -> Result<Choice, Blocked> {
+    ) -> Result<Choice, NoChoice> {
         let index = &self.pool.index;
         let members = index.members();
         let positions: Vec<usize> = index.positions_in(data_centres).collect();
@@ -73,7 +73,7 @@
         let key = placement_key(record);
         let order = CandidateOrder::new(members, positions, &record.widths, key, limit);
         let holders = self.known_holders(record);
-        let is_first = |position: usize| order.positions().first() == Some(&position);
+        let is_first_in_order = |position: usize| order.positions().first() == Some(&position);
         let mut seen = BTreeSet::new();
         let mut candidates = Vec::new();
         let holder_positions = holders
@@ -85,7 +85,7 @@
             if seen.insert(member.key) && self.is_usable(member, record) {
                 candidates.push(self.candidate(
                     member,
-                    is_first(position),
+                    is_first_in_order(position),
                     &holders,
                     record,
                     priority,
@@ -99,7 +99,7 @@
             if seen.insert(member.key) && self.is_usable(member, record) {
                 candidates.push(self.candidate(
                     member,
-                    is_first(position),
+                    is_first_in_order(position),
                     &holders,
                     record,
                     priority,
@@ -118,7 +118,13 @@
             if !seen.insert(member.key) || !self.is_usable(member, record) {
                 continue;
             }
-            let candidate = self.candidate(member, is_first(position), &holders, record, priority);
+            let candidate = self.candidate(
+                member,
+                is_first_in_order(position),
+                &holders,
+                record,
+                priority,
+            );
             if candidate.has_room {
                 return Ok(self.choice(&candidate, record));
             }
@@ -127,13 +133,15 @@
         let in_group = index
             .positions_in(data_centres)
             .map(|position| &members[position]);
-        Err(self.blocked(in_group, &candidates, record))
+        Err(self.no_choice(in_group, &candidates, record))
     }
 
-    /// The cheapest candidate with room, of those that meet the deadline where any does.
+    /// The candidate with room that has the lowest cost; candidates that meet the deadline come
+    /// first.
     ///
-    /// When none does, the fastest would only be an engine that holds nothing of the prompt, and
-    /// computing it there would make the requests behind it late as well.
+    /// If none meets the deadline, cost still decides rather than time to first token: the fastest
+    /// engine may be one that caches nothing of the prompt, and computing the prompt there would
+    /// delay the requests queued behind it as well.
     fn best<'b>(
         &self,
         candidates: &'b [Candidate<'b>],
@@ -155,27 +163,28 @@
             })
     }
 
-    fn blocked<'b>(
+    fn no_choice<'b>(
         &self,
         members: impl Iterator<Item = &'b PoolMember>,
         candidates: &[Candidate<'_>],
         record: &RequestRecord,
-    ) -> Blocked {
+    ) -> NoChoice {
         let fastest = candidates
             .iter()
             .map(|candidate| candidate.first_token_in)
             .min();
         if let Some(first_token_in) = fastest {
-            return Blocked::NoRoom { first_token_in };
+            return NoChoice::NoRoom { first_token_in };
         }
         members
-            .filter(|member| !record.failed.contains(&member.key))
+            .filter(|member| !record.failed_engines.contains(&member.key))
             .filter_map(|member| self.available_at(member, record))
             .min()
-            .map_or(Blocked::None, |until| Blocked::Unavailable { until })
+            .map_or(NoChoice::NoEngine, |until| NoChoice::Unavailable { until })
     }
 
-    /// When an engine that does not serve now may be asked again.
+    /// When an engine that is not serving now may be tried again; `None` if it is not expected
+    /// back.
     fn available_at(&self, member: &PoolMember, record: &RequestRecord) -> Option<Timestamp> {
         let engine = self.engines.get(member.key)?;
         if let Some(until) = engine.health.ejected_until() {
@@ -187,7 +196,7 @@
     }
 
     fn is_usable(&self, member: &PoolMember, record: &RequestRecord) -> bool {
-        if record.failed.contains(&member.key) {
+        if record.failed_engines.contains(&member.key) {
             return false;
         }
         let Some(engine) = self.engines.get(member.key) else {
@@ -199,14 +208,15 @@
         if !self.parameters.mechanisms.ejection || engine.health.is_serving() {
             return true;
         }
-        // A probe may end as unknown, which only a repeatable request can afford.
+        // The outcome of a probe may be unknown, after which only a repeatable request can be
+        // retried.
         record.is_repeatable() && engine.health.is_due_for_probe(self.now)
     }
 
     fn candidate<'b>(
         &self,
         member: &'b PoolMember,
-        is_first: bool,
+        is_first_in_order: bool,
         holders: &[KnownHolder],
         record: &RequestRecord,
         priority: Priority,
@@ -218,46 +228,46 @@
         let known = holders.iter().find(|holder| holder.engine == member.key);
         let shared = record.points.deepest_shared();
         let known_cached = known.map_or(0, |holder| holder.tokens);
-        let unknown_shared = shared
-            .map(|shared| UnknownShared {
+        let uncertain_range = shared
+            .map(|shared| UncertainRange {
                 priority: record.profile.priority,
-                base: f64::from(known_cached).max(self.spread_tokens(holders)),
+                start: f64::from(known_cached).max(self.widely_cached_tokens(holders)),
                 end: f64::from(shared.end_tokens),
             })
-            .filter(|unknown| is_first && unknown.end > unknown.base);
-        let expected_cached = self.expected_cached(known_cached, unknown_shared, holders);
+            .filter(|range| is_first_in_order && range.end > range.start);
+        let expected_cached = self.expected_cached(known_cached, uncertain_range, holders);
         let prompt = f64::from(record.profile.prompt_tokens);
         let import = self.import_beyond(expected_cached, record);
-        let (missed, import_cost) = match import {
+        let (uncached_tokens, import_cost) = match import {
             Some(point) => (
                 prompt - f64::from(point.end_tokens),
                 self.import_cost(f64::from(point.end_tokens) - expected_cached),
             ),
             None => (prompt - expected_cached, 0.0),
         };
-        let missed = missed.max(1.0);
+        let uncached_tokens = uncached_tokens.max(1.0);
         let tokens_ahead = engine.tokens_ahead(
             priority,
             self.pool.prefill_speed.tokens_per_second(),
-            self.pool.mean_missed.value(),
+            self.pool.mean_uncached_tokens.value(),
             self.now,
         );
-        let distance = self.distance(member);
-        let until_first_token = tokens_ahead + missed + import_cost;
-        let crowding = self.crowding(engine);
-        let price = missed * self.parameters.recompute_price(priority);
+        let latency = self.latency(member);
+        let until_first_token = tokens_ahead + uncached_tokens + import_cost;
+        let kv_memory_cost = self.kv_memory_cost(engine);
+        let penalty = uncached_tokens * self.parameters.recompute_penalty(priority);
         Candidate {
             member,
             is_probe: !engine.health.is_serving(),
             has_room: self.has_room(engine, record, priority),
-            cost: until_first_token + self.pool.tokens_in(distance) + crowding + price,
-            first_token_in: self.pool.prefill_time(until_first_token) + distance,
+            cost: until_first_token + self.pool.tokens_in(latency) + kv_memory_cost + penalty,
+            first_token_in: self.pool.prefill_time(until_first_token) + latency,
             import: import.map(|point| (point.hash, point.end_tokens)),
             expectation: Expectation {
                 known_cached,
                 known_age: known.map(|holder| (holder.age, holder.epoch)),
-                unknown_shared,
-                missed: missed as u32,
+                uncertain_range,
+                uncached_tokens: uncached_tokens as u32,
                 tokens_ahead,
                 imported: import.map(|point| (point.hash, point.end_tokens)),
                 exported: None,
@@ -265,77 +275,81 @@
         }
     }
 
-    /// Tokens to compute that weigh as much as the KV memory that other requests occupy or wait for.
+    /// Cost, in prompt tokens to compute, of the KV memory that other requests occupy or wait for.
     ///
-    /// The part for waiting requests is bounded: with long queues everywhere, their differences
-    /// must not outweigh recomputation, or an overload would feed itself.
-    fn crowding(&self, engine: &EngineRecord) -> f64 {
+    /// The part for waiting requests is bounded: when all queues are long, differences between them
+    /// must not outweigh recomputation, because recomputation would increase the overload further.
+    fn kv_memory_cost(&self, engine: &EngineRecord) -> f64 {
         let parameters = self.parameters;
-        let waiting = engine.waiting(self.now).min(parameters.most_waiting_priced);
+        let waiting = engine.waiting(self.now).min(parameters.max_waiting_counted);
         engine.running(self.now) * parameters.tokens_per_running_request
             + waiting * parameters.tokens_per_waiting_request
     }
 
     fn has_room(&self, engine: &EngineRecord, record: &RequestRecord, priority: Priority) -> bool {
-        // The caller of a broken stream has part of the answer already and must not wait in line.
+        // The caller of an interrupted stream already has part of the answer, so it doesn't queue
+        // again.
         record.delivered_chunks > 0
             || !self.parameters.mechanisms.engine_windows
             || engine.window.admits(priority, engine.in_flight)
     }
 
-    /// Tokens expected in the cache of an engine: those this process sent there, or those of a
-    /// prefix that is spread widely, and in the first engine in order those that other processes
-    /// are likely to have sent there.
+    /// Prompt tokens expected in an engine's cache, the maximum of: those this process sent there;
+    /// a share of a widely cached prefix; and, for the first engine in candidate order, those that
+    /// other router processes are likely to have sent there.
     fn expected_cached(
         &self,
         known_cached: u32,
-        unknown_shared: Option<UnknownShared>,
+        uncertain_range: Option<UncertainRange>,
         holders: &[KnownHolder],
     ) -> f64 {
         let known = f64::from(known_cached);
         if !self.parameters.mechanisms.cache_prior {
             return known;
         }
-        let spread = self.spread_tokens(holders) * self.parameters.spread_credit;
-        let found = unknown_shared.map_or(0.0, |unknown| {
+        let widely_cached =
+            self.widely_cached_tokens(holders) * self.parameters.widely_cached_credit;
+        let likely_cached = uncertain_range.map_or(0.0, |range| {
             let share = self
                 .pool
-                .found_share
-                .expected(unknown.priority, unknown.tokens());
-            unknown.base + share * unknown.tokens()
+                .cache_hit_estimate
+                .expected(range.priority, range.tokens());
+            range.start + share * range.tokens()
         });
-        known.max(spread).max(found)
+        known.max(widely_cached).max(likely_cached)
     }
 
-    /// Tokens of the longest prefix that so many engines are known to hold that any may.
-    fn spread_tokens(&self, holders: &[KnownHolder]) -> f64 {
+    /// Length in tokens of the longest widely cached prefix, which any engine may have cached.
+    fn widely_cached_tokens(&self, holders: &[KnownHolder]) -> f64 {
         let mut tokens: Vec<u32> = holders.iter().map(|holder| holder.tokens).collect();
         tokens.sort_unstable_by(|left, right| right.cmp(left));
         tokens
-            .get(self.parameters.spread_holders - 1)
+            .get(self.parameters.widely_cached_min_engines - 1)
             .map_or(0.0, |tokens| f64::from(*tokens))
     }
 
-    fn distance(&self, member: &PoolMember) -> Duration {
-        let to_site = self.distances.to(&member.back_end.data_centre);
+    fn latency(&self, member: &PoolMember) -> Duration {
+        let data_centre_latency = self.data_centre_latencies.to(&member.back_end.data_centre);
         if member.back_end.zone == *self.zone {
-            to_site
+            data_centre_latency
         } else {
-            to_site.max(self.parameters.zone_distance)
+            data_centre_latency.max(self.parameters.zone_latency)
         }
     }
 
-    /// The kept prefix whose import is faster than computing what the cache lacks of it.
+    /// The longest exported prefix, if importing it is faster than computing its uncached part.
     fn import_beyond(&self, cached: f64, record: &RequestRecord) -> Option<PlacementPoint> {
         self.kv_store?;
-        let point = self.kept.longest(record.points.all(), self.now)?;
+        let point = self
+            .exported_prefixes
+            .longest(record.points.all(), self.now)?;
         let gained = f64::from(point.end_tokens) - cached;
-        let pays = gained >= f64::from(self.parameters.kv_minimum_tokens)
+        let is_worthwhile = gained >= f64::from(self.parameters.kv_minimum_tokens)
             && self.import_cost(gained) < gained;
-        pays.then_some(point)
+        is_worthwhile.then_some(point)
     }
 
-    /// Prompt tokens that could be computed while so many are imported.
+    /// Cost of importing `tokens`: the prompt tokens that could be computed in the same time.
     fn import_cost(&self, tokens: f64) -> f64 {
         let transfer = tokens / self.parameters.kv_import_tokens_per_second;
         let transfer = Duration::from_secs_f64(transfer.max(0.0));
@@ -343,15 +357,15 @@
             .tokens_in(self.parameters.kv_import_latency + transfer)
     }
 
-    /// Engines expected to hold part of the prompt, each with the longest part.
+    /// Engines expected to cache part of the prompt, each with the longest cached prefix.
     fn known_holders(&self, record: &RequestRecord) -> Vec<KnownHolder> {
         let mut holders: Vec<KnownHolder> = Vec::new();
-        if !self.parameters.mechanisms.cache_knowledge {
+        if !self.parameters.mechanisms.cache_directory {
             return holders;
         }
         for point in record.points.all().iter().rev() {
             let epoch_of = |key: EngineKey| self.engines.epoch_of(key);
-            for holder in self.knowledge.holders(point.hash, epoch_of) {
+            for holder in self.cache_directory.holders(point.hash, epoch_of) {
                 let age = self.now.since(holder.used_at);
                 let is_kept = self
                     .engines
@@ -367,7 +381,7 @@
                     });
                 }
             }
-            if holders.len() >= MOST_HOLDERS {
+            if holders.len() >= MAX_HOLDERS {
                 break;
             }
         }
@@ -395,14 +409,15 @@
         }
     }
 
-    /// A prefix that was asked for before is worth keeping, once.
+    /// Exports the longest shared prefix if an earlier request had it too and it is not in the
+    /// store yet.
     fn export_after(&self, record: &RequestRecord) -> Option<KvExport> {
         let store = self.kv_store?;
         let shared = record.points.shared().last()?;
-        let is_worth = record.is_recurring
+        let is_worthwhile = record.is_recurring
             && shared.end_tokens >= self.parameters.kv_minimum_tokens
-            && !self.kept.is_kept(shared.hash, self.now);
-        is_worth.then_some(KvExport {
+            && !self.exported_prefixes.is_stored(shared.hash, self.now);
+        is_worthwhile.then_some(KvExport {
             store,
             prefix: shared.hash,
             tokens: shared.end_tokens,
@@ -410,8 +425,8 @@
     }
 }
 
-/// The key that orders engines for a request: its longest shared prefix, or the request itself when
-/// it has no prompt.
+/// Hash key of the candidate order for a request: its longest shared prefix, or the request id when
+/// it has no shared prefix.
 fn placement_key(record: &RequestRecord) -> u64 {
     record.points.deepest_shared().map_or_else(
         || xxhash_rust::xxh3::xxh3_64(record.profile.request.as_str().as_bytes()),
--- a/crates/core/src/dispatch/engine_record.rs
+++ b/crates/core/src/dispatch/engine_record.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher knows of one back end.
+//! State of one back end in the dispatcher.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,14 +13,17 @@
 use super::sent_tokens::SentTokens;
 use super::{EngineObservation, Priority};
 
-/// Load reports are taken to tell of a time so long ago; what answers told since counts more.
+/// Assumed age of a load report on arrival; an observation from a more recent answer takes
+/// precedence.
 const REPORT_LAG: Duration = Duration::from_millis(300);
-/// For so long after an engine said it drains it gets no new work, unless it says otherwise.
-const DRAINING_HOLD: Duration = Duration::from_secs(5);
-/// An engine with other weights is asked at most so often whether it has the right ones now.
+/// An engine that reported draining gets no new work for this long, unless a later report revokes
+/// it.
+const DRAINING_TIMEOUT: Duration = Duration::from_secs(5);
+/// Minimum interval between requests sent to an engine that last reported another weights version,
+/// to find out whether it has the required one now.
 const WEIGHTS_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the dispatcher knows of one back end.
+/// State of one back end: last observations, own requests in flight, health and cache retention.
 #[derive(Debug)]
 pub(super) struct EngineRecord {
     pub(super) address: SocketAddr,
@@ -31,7 +34,7 @@
     draining_at: Option<Timestamp>,
     weights_probed_at: Option<Timestamp>,
     pub(super) in_flight: u32,
-    /// Prompt tokens of own requests without a first token yet: interactive, batch.
+    /// Prompt tokens of this process's requests that have no first token yet: interactive, batch.
     pending: [u64; 2],
     sent: SentTokens,
     pub(super) window: EngineWindow,
@@ -58,92 +61,98 @@
         }
     }
 
-    /// The process last heard of.
+    /// Latest known incarnation.
     pub(super) fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// The current life of its cache.
+    /// Current cache generation.
     pub(super) fn epoch(&self) -> CacheEpoch {
         self.epoch
     }
 
-    /// Takes what an answer told.
+    /// Applies the observation of an answer.
     pub(super) fn observe_answer(&mut self, observation: &EngineObservation, now: Timestamp) {
         self.observe(observation, now, now);
     }
 
-    /// Takes what a lagging report told, unless an answer told more since.
+    /// Applies a load report, unless an answer gave a more recent observation of the same
+    /// incarnation.
     pub(super) fn observe_report(&mut self, observation: &EngineObservation, now: Timestamp) {
-        let told_at = now.before(REPORT_LAG);
-        let is_newer = |load: ObservedLoad| load.at > told_at;
+        let observed_at = now.before(REPORT_LAG);
+        let is_newer = |load: ObservedLoad| load.observed_at > observed_at;
         if self.load.is_some_and(is_newer) && self.incarnation >= Some(observation.incarnation) {
             return;
         }
-        self.observe(observation, told_at, now);
+        self.observe(observation, observed_at, now);
     }
 
-    /// Share of its requests that are this process's own, as last told.
+    /// Share of the engine's requests that this process sent, as last observed.
     pub(super) fn own_share(&self) -> Option<f64> {
         self.load.and_then(|load| load.own_share())
     }
 
-    /// Whether it may get new work for these weights, as far as it told.
+    /// Whether the engine may get new work for these weights, as last observed.
     pub(super) fn accepts(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
         !self.is_draining(now) && self.serves(weights, now)
     }
 
-    /// Whether it said that it drains.
+    /// Whether the engine reported within [`DRAINING_TIMEOUT`] that it is draining.
     pub(super) fn is_draining(&self, now: Timestamp) -> bool {
         self.draining_at
-            .is_some_and(|at| now.since(at) < DRAINING_HOLD)
+            .is_some_and(|at| now.since(at) < DRAINING_TIMEOUT)
     }
 
-    /// Notes that a request is sent although it last told of other weights.
-    pub(super) fn note_weights_probe(&mut self, weights: Option<WeightsVersion>, now: Timestamp) {
+    /// Records that a request is being sent although the engine last reported other weights.
+    pub(super) fn record_weights_probe(&mut self, weights: Option<WeightsVersion>, now: Timestamp) {
         if self.has_other_weights(weights) {
             self.weights_probed_at = Some(now);
         }
     }
 
-    /// Prompt tokens it has to compute before a new request's own (estimate), when it computes
-    /// `speed` a second and requests miss `mean_missed` on average.
+    /// Estimated prompt tokens that the engine computes before those of a new request, at `speed`
+    /// tokens per second and `mean_uncached_tokens` per request.
     pub(super) fn tokens_ahead(
         &self,
         priority: Priority,
         speed: f64,
-        mean_missed: f64,
+        mean_uncached_tokens: f64,
         now: Timestamp,
     ) -> f64 {
-        if let Some(ahead) = self.told_tokens_ahead(priority, speed, now) {
+        if let Some(ahead) = self.reported_tokens_ahead(priority, speed, now) {
             return ahead;
         }
         let own = match priority {
             Priority::Interactive => self.pending[0],
             Priority::Batch => self.pending[0] + self.pending[1],
         };
-        let foreign = self.load.map_or(0.0, |load| load.foreign_waiting(now));
-        own as f64 + foreign * mean_missed
+        let other_routers = self
+            .load
+            .map_or(0.0, |load| load.other_routers_waiting(now));
+        own as f64 + other_routers * mean_uncached_tokens
     }
 
-    /// What the engine last told, less what it can have computed since, and what was sent since.
-    fn told_tokens_ahead(&self, priority: Priority, speed: f64, now: Timestamp) -> Option<f64> {
+    /// Queued tokens as last reported, plus those sent since, minus those computed since; `None`
+    /// without a recent report.
+    fn reported_tokens_ahead(&self, priority: Priority, speed: f64, now: Timestamp) -> Option<f64> {
         let load = self.load?;
-        let told = load.queued_tokens(priority)?;
-        let sent = self.sent.since(load.at, priority, now)?;
-        let computed = speed * now.since(load.at).as_secs_f64();
-        Some((told + sent - computed).max(0.0))
+        let reported = load.queued_tokens(priority)?;
+        let sent = self.sent.since(load.observed_at, priority, now)?;
+        let computed = speed * now.since(load.observed_at).as_secs_f64();
+        Some((reported + sent - computed).max(0.0))
     }
 
-    /// Requests that wait in it, as last told.
+    /// Requests waiting in the engine (estimate).
     pub(super) fn waiting(&self, now: Timestamp) -> f64 {
         self.load.map_or(0.0, |load| load.all_waiting(now))
     }
 
-    /// Requests it runs (estimate).
+    /// Requests running in the engine (estimate).
     pub(super) fn running(&self, now: Timestamp) -> f64 {
-        let foreign = self.load.map_or(0.0, |load| load.foreign_running(now));
-        f64::from(self.in_flight) + foreign
+        let other_routers = self
+            .load
+            .map_or(0.0, |load| load.other_routers_running(now));
+        f64::from(self.in_flight) + other_routers
     }
 
     pub(super) fn add_pending(&mut self, priority: Priority, tokens: u32, now: Timestamp) {
@@ -156,18 +165,18 @@
         *pending = pending.saturating_sub(u64::from(tokens));
     }
 
-    fn observe(&mut self, observation: &EngineObservation, told_at: Timestamp, now: Timestamp) {
-        // Incarnations only rise: what an older one said is void.
+    fn observe(&mut self, observation: &EngineObservation, observed_at: Timestamp, now: Timestamp) {
+        // Incarnations only increase, so an observation of an older one is obsolete.
         if self.incarnation > Some(observation.incarnation) {
             return;
         }
-        self.note_incarnation(observation.incarnation);
-        self.note_weights(observation.weights_version);
-        self.note_draining(observation.draining, told_at, now);
-        self.load = Some(ObservedLoad::new(observation, self.in_flight, told_at));
+        self.record_incarnation(observation.incarnation);
+        self.record_weights(observation.weights_version);
+        self.record_draining(observation.draining, observed_at, now);
+        self.load = Some(ObservedLoad::new(observation, self.in_flight, observed_at));
     }
 
-    fn note_incarnation(&mut self, incarnation: Incarnation) {
+    fn record_incarnation(&mut self, incarnation: Incarnation) {
         if self.incarnation == Some(incarnation) {
             return;
         }
@@ -181,7 +190,7 @@
         self.weights_version = None;
     }
 
-    fn note_weights(&mut self, weights: WeightsVersion) {
+    fn record_weights(&mut self, weights: WeightsVersion) {
         if self.weights_version == Some(weights) {
             return;
         }
@@ -191,17 +200,17 @@
         self.weights_version = Some(weights);
     }
 
-    fn note_draining(&mut self, draining: bool, told_at: Timestamp, now: Timestamp) {
+    fn record_draining(&mut self, draining: bool, observed_at: Timestamp, now: Timestamp) {
         if draining {
             self.draining_at = Some(now);
-        } else if self.draining_at.is_some_and(|since| since < told_at) {
+        } else if self.draining_at.is_some_and(|since| since < observed_at) {
             self.draining_at = None;
         }
     }
 
     fn serves(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
-        let asked_lately = |at: Timestamp| now.since(at) < WEIGHTS_PROBE_INTERVAL;
-        !self.has_other_weights(weights) || !self.weights_probed_at.is_some_and(asked_lately)
+        let probed_recently = |at: Timestamp| now.since(at) < WEIGHTS_PROBE_INTERVAL;
+        !self.has_other_weights(weights) || !self.weights_probed_at.is_some_and(probed_recently)
     }
 
     fn has_other_weights(&self, weights: Option<WeightsVersion>) -> bool {
--- a/crates/core/src/dispatch/tenant_gate.rs
+++ b/crates/core/src/dispatch/tenant_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants in front of placement.
+//! Enforcement of tenant limits before placement.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,24 +12,24 @@
 
 use super::{DispatchAction, FinalOutcome, Refusal, RefusalReason, RequestProfile, RunState};
 
-/// Requests that wait for tickets at most; more are refused at once.
+/// Maximum number of requests that wait for permits; further ones are refused immediately.
 const MAX_WAITING: usize = 4_096;
 
-/// Lets requests through while their tenants have tickets, and holds those that wait for some.
+/// Admits requests while their tenants have permits, and queues those that wait for permits.
 #[derive(Debug)]
-pub(super) struct TenantGate {
-    borrower: LimitClient,
+pub(super) struct TenantLimiter {
+    client: LimitClient,
     settings: LimitSettings,
     waiting: BTreeMap<TenantName, VecDeque<RequestProfile>>,
     waiting_count: usize,
-    /// Requests that were let through and are not over.
+    /// Admitted requests that have not ended.
     admitted: BTreeMap<RequestId, TenantName>,
 }
 
-impl TenantGate {
+impl TenantLimiter {
     pub fn new(node: NodeName, started_at: Timestamp, settings: LimitSettings) -> Self {
         Self {
-            borrower: LimitClient::new(node, started_at, settings),
+            client: LimitClient::new(node, started_at, settings),
             settings,
             waiting: BTreeMap::new(),
             waiting_count: 0,
@@ -38,10 +38,10 @@
     }
 
     pub fn adopt(&mut self, catalog: Arc<Catalog>) {
-        self.borrower.adopt(catalog);
+        self.client.adopt(catalog);
     }
 
-    /// Gives the request back when it may go on; otherwise it waits or is refused.
+    /// Returns the request if it is admitted now; otherwise it is queued or refused.
     pub fn admit(
         &mut self,
         profile: RequestProfile,
@@ -51,12 +51,12 @@
         let mut sends = Vec::new();
         let cost = cost_of(&profile);
         let decision = self
-            .borrower
+            .client
             .try_spend(&profile.tenant, &cost, now, &mut sends);
         push_sends(sends, actions);
         match decision {
             LimitDecision::Allowed => {
-                self.note_admitted(&profile);
+                self.record_admitted(&profile);
                 return Some(profile);
             }
             LimitDecision::Waiting if self.waiting_count < MAX_WAITING => {
@@ -75,7 +75,7 @@
         None
     }
 
-    /// Takes a bank's grant and returns the requests that may go on.
+    /// Applies a grant from an allocator and returns the queued requests that are now admitted.
     pub fn receive(
         &mut self,
         from: &NodeName,
@@ -84,19 +84,19 @@
         actions: &mut Vec<DispatchAction>,
     ) -> Vec<RequestProfile> {
         let mut sends = Vec::new();
-        self.borrower.receive(from, grant, now, &mut sends);
+        self.client.receive(from, grant, now, &mut sends);
         push_sends(sends, actions);
         self.retry(&grant.tenant, now, actions)
     }
 
-    /// Lets time pass and returns the requests that may go on.
+    /// Advances the time and returns the queued requests that are now admitted.
     pub fn tick(
         &mut self,
         now: Timestamp,
         actions: &mut Vec<DispatchAction>,
     ) -> Vec<RequestProfile> {
         let mut sends = Vec::new();
-        self.borrower.tick(now, &mut sends);
+        self.client.tick(now, &mut sends);
         push_sends(sends, actions);
         let tenants: Vec<TenantName> = self.waiting.keys().cloned().collect();
         tenants
@@ -105,7 +105,7 @@
             .collect()
     }
 
-    /// Takes a waiting request out; whether there was one.
+    /// Removes a queued request; returns whether it was queued.
     pub fn cancel(&mut self, request: &RequestId) -> bool {
         for queue in self.waiting.values_mut() {
             let before = queue.len();
@@ -118,23 +118,23 @@
         false
     }
 
-    /// Gives back the streams of requests that are over.
-    pub fn note_finished(&mut self, actions: &[DispatchAction]) {
+    /// Releases the concurrent-stream slots of requests that have ended.
+    pub fn record_finished(&mut self, actions: &[DispatchAction]) {
         for action in actions {
             if let DispatchAction::Finish { request, .. } = action
                 && let Some(tenant) = self.admitted.remove(request)
             {
-                self.borrower.stream_ended(&tenant);
+                self.client.stream_ended(&tenant);
             }
         }
     }
 
-    fn note_admitted(&mut self, profile: &RequestProfile) {
+    fn record_admitted(&mut self, profile: &RequestProfile) {
         self.admitted
             .insert(profile.request.clone(), profile.tenant.clone());
     }
 
-    /// Requests of a tenant go on in the order in which they came.
+    /// Admits queued requests of a tenant in order of arrival, until one has to keep waiting.
     fn retry(
         &mut self,
         tenant: &TenantName,
@@ -153,12 +153,12 @@
             }
             let mut sends = Vec::new();
             let cost = cost_of(&profile);
-            let decision = self.borrower.retry(tenant, &cost, now, &mut sends);
+            let decision = self.client.retry(tenant, &cost, now, &mut sends);
             push_sends(sends, actions);
             match decision {
                 LimitDecision::Allowed => {
                     self.waiting_count -= 1;
-                    self.note_admitted(&profile);
+                    self.record_admitted(&profile);
                     admitted.push(profile);
                 }
                 LimitDecision::Waiting => {
