--- a/crates/gateway/src/catalogue/route.rs
+++ b/crates/gateway/src/catalogue/route.rs
@@ -29,7 +29,7 @@
     /// Longest pause between the events of a stream that callers find no fault with.
     pub longest_pause: Option<Duration>,
     /// Most back ends that one request is sent to.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Urgency, 0 first.
     pub priority: u8,
     /// Where its requests go; at least one.
--- a/crates/gateway/src/gateway/gateway_state.rs
+++ b/crates/gateway/src/gateway/gateway_state.rs
@@ -20,7 +20,7 @@
     WeightsNews, ZoneTraffic,
 };
 use crate::placement::{Division, HolderTable, KvStores, ReadingDemand};
-use crate::poison::Records;
+use crate::poison::RecordTable;
 use crate::quotas::Quotas;
 use crate::release;
 use crate::retry::RetryWindow;
@@ -102,9 +102,9 @@
     /// Requests under which engines ended.
     pub poison: poison::Register,
     /// Those of them to tell others of, and how often.
-    pub poison_news: BTreeMap<poison::Digest, u32>,
+    pub poison_updates: BTreeMap<poison::Digest, u32>,
     /// What is known of the records of those that are held back.
-    pub poison_records: Records,
+    pub poison_records: RecordTable,
     /// Counts introductions: those that are held back are told by turns.
     pub poison_turn: usize,
     /// Engines that have named a limit.
@@ -237,8 +237,8 @@
             quotas: Quotas::new(settings.limit_tolerance, now),
             releases: release::Table::default(),
             poison: poison::Register::default(),
-            poison_news: BTreeMap::new(),
-            poison_records: Records::default(),
+            poison_updates: BTreeMap::new(),
+            poison_records: RecordTable::default(),
             poison_turn: 0,
             limited_engines: BTreeSet::new(),
             last_refreshed: None,
--- a/crates/gateway/src/gateway/peer_news.rs
+++ b/crates/gateway/src/gateway/peer_news.rs
@@ -45,7 +45,7 @@
             return !state.weights_news.is_empty();
         }
         // What was dropped goes with the next message: a message of its own costs more than it saves.
-        let has_urgent = !state.poison_news.is_empty() || !state.signal_news.is_empty();
+        let has_urgent = !state.poison_updates.is_empty() || !state.signal_news.is_empty();
         let is_told_here = has_urgent && !state.peers.is_large();
         !state.holder_news.is_empty() || !state.weights_news.is_empty() || is_told_here
     }
@@ -108,7 +108,7 @@
             reading: state.reading_demand.news(now),
             releases: self.release_news(&state, is_introduction, now),
             evidence: self.evidence_news(&state),
-            poison: self.poison_news(&mut state, is_introduction, now),
+            poison: self.poison_updates(&mut state, is_introduction, now),
             signals: self.signal_news(&mut state, is_introduction, now),
             knows_orders: is_introduction && state.releases.knows_orders,
             holders,
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -11,7 +11,7 @@
 use super::poison_records::settle_unless_newer;
 use super::{Gateway, GatewayState};
 use crate::engines::{Engine, ToldLife};
-use crate::poison::{PoisonNews, Run};
+use crate::poison::{PoisonUpdate, Run};
 use crate::serve::AcceptedRequest;
 
 /// Most requests that one message tells of; more wait for the next.
@@ -137,10 +137,10 @@
         let now = self.clock().now();
         let mut state = self.state_mut();
         if state.poison.is_convicted(digest) {
-            state.poison_records.note_held(digest);
+            state.poison_records.note_stored(digest);
         }
         let is_news = state.poison.clear(digest, now);
-        let is_held = state.poison_records.is_held(digest);
+        let is_held = state.poison_records.is_stored(digest);
         drop(state);
         if is_news {
             self.tell_of_poison(digest);
@@ -186,7 +186,7 @@
             && !history.is_convicted()
             && let Some(revision) = poison_records.forget(digest)
         {
-            poison_records.remove_later(digest, revision);
+            poison_records.schedule_removal(digest, revision);
             self.poison_records_due.notify_one();
         }
     }
@@ -218,20 +218,20 @@
     }
 
     pub(super) fn tell_of_poison(&self, digest: Digest) {
-        self.state_mut().poison_news.insert(digest, TELLINGS);
+        self.state_mut().poison_updates.insert(digest, TELLINGS);
         self.tell_peers_soon();
     }
 
     /// What to tell other nodes with a message; with an introduction also of requests that are held back.
-    pub(super) fn poison_news(
+    pub(super) fn poison_updates(
         &self,
         state: &mut GatewayState,
         is_introduction: bool,
         now: Timestamp,
-    ) -> Vec<PoisonNews> {
+    ) -> Vec<PoisonUpdate> {
         let mut told = match state.peers.is_large() {
             true => Vec::new(),
-            false => take_news(&mut state.poison_news, MOST_NEWS, 1),
+            false => take_news(&mut state.poison_updates, MOST_NEWS, 1),
         };
         if is_introduction {
             told.extend(convicted_of_turn(state));
@@ -247,12 +247,12 @@
         &self,
         state: &mut GatewayState,
         now: Timestamp,
-    ) -> Vec<PoisonNews> {
+    ) -> Vec<PoisonUpdate> {
         if !state.peers.is_large() {
             return Vec::new();
         }
-        let told = take_news(&mut state.poison_news, MOST_NEWS, TELLINGS);
-        if !state.poison_news.is_empty() {
+        let told = take_news(&mut state.poison_updates, MOST_NEWS, TELLINGS);
+        if !state.poison_updates.is_empty() {
             // What this message does not hold is as urgent.
             self.tell_peers_soon();
         }
@@ -263,7 +263,7 @@
     pub(super) fn take_poison_news(
         &self,
         state: &mut GatewayState,
-        news: &[PoisonNews],
+        news: &[PoisonUpdate],
         now: Timestamp,
     ) {
         for told in news {
@@ -278,7 +278,7 @@
                     "is_recorded" => told.is_recorded);
             }
             if was_convicted || told.is_recorded {
-                state.poison_records.note_held(digest);
+                state.poison_records.note_stored(digest);
             }
             if is_news && (is_convicted || was_convicted) {
                 self.write_poison_record_later(state, digest, now);
@@ -291,7 +291,7 @@
 }
 
 /// What others send to an engine from now on is not what ended it.
-fn note_ended_engines(state: &mut GatewayState, told: &PoisonNews, now: Timestamp) {
+fn note_ended_engines(state: &mut GatewayState, told: &PoisonUpdate, now: Timestamp) {
     for news in &told.crashes {
         let crash = news.crash(now);
         // It is told again and again, and the engine may have taken something since.
@@ -314,14 +314,15 @@
     part_of_turn(&convicted, MOST_IN_INTRODUCTION, state.poison_turn)
 }
 
-fn news_of(state: &GatewayState, told: &[Digest], now: Timestamp) -> Vec<PoisonNews> {
+fn news_of(state: &GatewayState, told: &[Digest], now: Timestamp) -> Vec<PoisonUpdate> {
     let known = told.iter().filter_map(|digest| {
         let history = state.poison.get(*digest)?;
         let records = &state.poison_records;
-        let is_recorded = records.revision(*digest).is_some() && !records.is_unsettled(*digest);
-        Some(PoisonNews {
+        let is_recorded =
+            records.revision(*digest).is_some() && !records.has_pending_write(*digest);
+        Some(PoisonUpdate {
             is_recorded,
-            ..PoisonNews::new(*digest, history, now)
+            ..PoisonUpdate::new(*digest, history, now)
         })
     });
     known.collect()
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -9,7 +9,7 @@
 use slog::{info, warn};
 
 use super::{Gateway, GatewayState, SETTLING};
-use crate::poison::{Reading, Record};
+use crate::poison::{ReadProgress, Record};
 use crate::serve::AcceptedRequest;
 use crate::source::{Consistency, StoredRecord};
 
@@ -31,31 +31,35 @@
     /// From now on requests wait until the records of those that are held back have been read.
     pub(crate) fn expect_poison_records(&self) {
         let records = &mut self.state_mut().poison_records;
-        records.are_kept = true;
-        records.reading = Reading::Unread;
+        records.has_store = true;
+        records.read_progress = ReadProgress::Unread;
     }
 
     /// Waits until a request that is held back is known to be. Where engines have ended under it already, what was
     /// recorded in the last seconds matters as well. `false` when it can't be told.
     pub(crate) async fn knows_poison(&self, request: &AcceptedRequest) -> bool {
-        let wanted = match self.state().poison_records.reading {
-            Reading::Current => return true,
-            Reading::Stale if !self.is_suspect(request) => return true,
-            Reading::Stale => Reading::Current,
-            Reading::Unread => Reading::Stale,
+        let wanted = match self.state().poison_records.read_progress {
+            ReadProgress::Current => return true,
+            ReadProgress::Stale if !self.is_suspect(request) => return true,
+            ReadProgress::Stale => ReadProgress::Current,
+            ReadProgress::Unread => ReadProgress::Stale,
         };
         let now = self.clock().now();
-        let wanted_at = *self.state_mut().poison_records.wanted_at.get_or_insert(now);
+        let wanted_at = *self
+            .state_mut()
+            .poison_records
+            .requested_at
+            .get_or_insert(now);
         self.poison_records_wanted.notify_one();
         let limit = wanted_at.after(LONGEST_WAIT_FOR_RECORDS);
         let read = self.poison_records_read(wanted);
         self.clock().until(limit, read).await.is_some()
     }
 
-    async fn poison_records_read(&self, wanted: Reading) {
+    async fn poison_records_read(&self, wanted: ReadProgress) {
         loop {
             let read = self.poison_records_changed.notified();
-            if self.state().poison_records.reading >= wanted {
+            if self.state().poison_records.read_progress >= wanted {
                 return;
             }
             read.await;
@@ -78,7 +82,7 @@
     /// Whether what was recorded in the last seconds is to be read.
     pub(crate) fn wants_current_records(&self) -> bool {
         let records = &self.state().poison_records;
-        records.reading != Reading::Current && records.wanted_at.is_some()
+        records.read_progress != ReadProgress::Current && records.requested_at.is_some()
     }
 
     /// Takes all records.
@@ -91,11 +95,11 @@
         let mut state = self.state_mut();
         let held_back = state.poison.convicted().count();
         let records = &mut state.poison_records;
-        records.reading = match consistency {
-            Consistency::Linearizable => Reading::Current,
-            Consistency::Stale => Reading::Stale,
+        records.read_progress = match consistency {
+            Consistency::Linearizable => ReadProgress::Current,
+            Consistency::Stale => ReadProgress::Stale,
         };
-        records.wanted_at = None;
+        records.requested_at = None;
         info!(self.log(), "poison_records_read"; "records" => count, "held_back" => held_back,
             "is_stale" => consistency == Consistency::Stale,
             "uptime_ms" => self.uptime().as_millis() as u64);
@@ -111,7 +115,9 @@
         let mut state = self.state_mut();
         if told.is_over(now) {
             if is_chosen {
-                state.poison_records.remove_later(digest, stored.revision);
+                state
+                    .poison_records
+                    .schedule_removal(digest, stored.revision);
             }
             return;
         }
@@ -123,14 +129,14 @@
     /// What this node has seen of a request is new, and nodes that start when all have gone must know it.
     pub(super) fn write_poison_record(&self, digest: Digest) {
         let now = self.clock().now();
-        self.state_mut().poison_records.write_by(digest, now);
+        self.state_mut().poison_records.schedule_write(digest, now);
         self.poison_records_due.notify_one();
     }
 
     /// The same for a request that one more end would hold back. Most are popular ones beside another, and are cleared before.
     pub(super) fn write_suspect_record(&self, digest: Digest) {
         let at = self.clock().now().after(SUSPECT_WRITTEN_AFTER);
-        self.state_mut().poison_records.write_by(digest, at);
+        self.state_mut().poison_records.schedule_write(digest, at);
         self.poison_records_due.notify_one();
     }
 
@@ -143,7 +149,9 @@
     ) {
         let spread = SPREAD_FOR_EACH_NODE * state.peers.known_count() as u32;
         let after = WRITTEN_BY_OTHERS_AFTER + spread.mul_f64(rand::rng().random());
-        state.poison_records.write_by(digest, now.after(after));
+        state
+            .poison_records
+            .schedule_write(digest, now.after(after));
         self.poison_records_due.notify_one();
     }
 
@@ -151,7 +159,7 @@
     pub(crate) fn next_poison_record(&self) -> Result<(Record, Option<u64>), Option<Timestamp>> {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        while let Some((digest, at)) = state.poison_records.next() {
+        while let Some((digest, at)) = state.poison_records.next_write() {
             if at > now {
                 return Err(Some(at));
             }
@@ -160,9 +168,9 @@
                 state.poison_records.forget(digest);
                 continue;
             };
-            if !history.is_nearly_convicted() && !state.poison_records.is_held(digest) {
+            if !history.is_nearly_convicted() && !state.poison_records.is_stored(digest) {
                 // A good end has cleared it before it was written.
-                state.poison_records.settle(digest);
+                state.poison_records.cancel_write(digest);
                 continue;
             }
             let record = Record::new(digest, history, now, SystemTime::now());
@@ -199,7 +207,7 @@
         let own = state.poison.get(digest);
         let is_newer = own.is_some_and(|own| own.exceeds(&theirs));
         if is_newer {
-            state.poison_records.write_by(digest, now);
+            state.poison_records.schedule_write(digest, now);
         }
         drop(state);
         info!(self.log(), "poison_record_conflict"; "digest" => %digest, "revision" => revision,
@@ -217,7 +225,7 @@
         let records = &mut self.state_mut().poison_records;
         records.end_write(digest, revision);
         if let Some(at) = again_at {
-            records.write_by(digest, at);
+            records.schedule_write(digest, at);
         }
     }
 
@@ -227,7 +235,7 @@
         let written = async {
             loop {
                 let changed = self.poison_records_changed.notified();
-                if !self.state().poison_records.is_unsettled(digest) {
+                if !self.state().poison_records.has_pending_write(digest) {
                     return;
                 }
                 changed.await;
@@ -247,7 +255,7 @@
         for digest in state.poison.forget(now) {
             let revision = state.poison_records.forget(digest);
             if let Some(revision) = revision.filter(|_| is_chosen) {
-                state.poison_records.remove_later(digest, revision);
+                state.poison_records.schedule_removal(digest, revision);
                 self.poison_records_due.notify_one();
             }
         }
@@ -264,6 +272,6 @@
 pub(super) fn settle_unless_newer(state: &mut GatewayState, digest: Digest, held: &History) {
     let own = state.poison.get(digest);
     if own.is_none_or(|own| !own.exceeds(held)) {
-        state.poison_records.settle(digest);
+        state.poison_records.cancel_write(digest);
     }
 }
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -52,7 +52,8 @@
                 );
                 let refused = &self.metrics().over_limit;
                 refused.with_label_values(&[tenant.as_str()]).inc();
-                Err(Refusal::new(RefusalReason::OverLimit, detail).come_back_after(come_back_after))
+                Err(Refusal::new(RefusalReason::OverLimit, detail)
+                    .with_retry_after(come_back_after))
             }
         }
     }
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -9,7 +9,7 @@
     WeightsNews,
 };
 use crate::placement::ReadingNews;
-use crate::poison::PoisonNews;
+use crate::poison::PoisonUpdate;
 use crate::quotas::UsageNews;
 use crate::release::{EvidenceNews, ReleaseNews};
 
@@ -110,7 +110,7 @@
     /// Requests under which engines ended, when that is news, and with the introduction those held back.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "z", deserialize_with = "readable")]
-    pub poison: Vec<PoisonNews>,
+    pub poison: Vec<PoisonUpdate>,
     /// What engines have said of themselves in answers, when that is news, and with the introduction all of it by turns.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "S", deserialize_with = "readable")]
--- a/crates/gateway/src/peers/zone_news.rs
+++ b/crates/gateway/src/peers/zone_news.rs
@@ -6,7 +6,7 @@
 use super::readable::{readable, readable_or_default};
 use super::{EngineLifeNews, EngineLoadNews, HolderNews, SignalNews, WeightsNews};
 use crate::placement::ReadingNews;
-use crate::poison::PoisonNews;
+use crate::poison::PoisonUpdate;
 use crate::quotas::UsageNews;
 use crate::release::{EvidenceNews, ReleaseNews};
 
@@ -71,7 +71,7 @@
     /// Requests under which engines ended.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
-    pub poison: Vec<PoisonNews>,
+    pub poison: Vec<PoisonUpdate>,
     /// What engines have said of themselves in answers.
     #[serde(rename = "S", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
--- a/crates/gateway/src/poison/crash_news.rs
+++ b/crates/gateway/src/poison/crash_update.rs
@@ -9,7 +9,7 @@
 
 /// News of an engine that ended under a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// The engine.
     #[serde(rename = "e")]
     pub engine: BackEndName,
@@ -27,7 +27,7 @@
     pub is_unproven: bool,
 }
 
-impl CrashNews {
+impl CrashUpdate {
     /// News of an end that is told now.
     pub fn new(crash: &Crash, now: Timestamp) -> Self {
         Self {
--- a/crates/gateway/src/poison/mod.rs
+++ b/crates/gateway/src/poison/mod.rs
@@ -1,11 +1,11 @@
 //! Requests that end the engines that run them: what stands for one, and what nodes tell of it.
 
-mod crash_news;
-mod keeper;
-mod poison_news;
-mod reading;
+mod crash_update;
+mod poison_update;
+mod read_progress;
 mod record;
-mod records;
+mod record_sync;
+mod record_table;
 mod run;
 
 use bytes::Bytes;
@@ -15,12 +15,12 @@
 use ryerouter_core::poison::Digest;
 use sha2::Sha256;
 
-pub use crash_news::CrashNews;
-pub use keeper::keep_records;
-pub use poison_news::PoisonNews;
-pub use reading::Reading;
+pub use crash_update::CrashUpdate;
+pub use poison_update::PoisonUpdate;
+pub use read_progress::ReadProgress;
 pub use record::Record;
-pub use records::Records;
+pub use record_sync::sync_records;
+pub use record_table::RecordTable;
 pub use run::Run;
 
 /// What stands for a request and its repeats, whose ids all differ.
--- a/crates/gateway/src/poison/poison_news.rs
+++ b/crates/gateway/src/poison/poison_update.rs
@@ -6,17 +6,17 @@
 use ryerouter_core::poison::{Digest, History};
 use serde::{Deserialize, Serialize};
 
-use super::CrashNews;
+use super::CrashUpdate;
 
 /// What a node knows of a request under which engines ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoisonNews {
+pub struct PoisonUpdate {
     /// The request.
     #[serde(rename = "d")]
     pub digest: Digest,
     /// The engines that ended.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
     /// How long ago it last ran to a good end, in milliseconds.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub cleared_age_ms: Option<u64>,
@@ -31,14 +31,14 @@
     pub is_recorded: bool,
 }
 
-impl PoisonNews {
+impl PoisonUpdate {
     /// News that are told now.
     pub fn new(digest: Digest, history: &History, now: Timestamp) -> Self {
         let age_ms = |at: Timestamp| now.since(at).as_millis() as u64;
         let crashes = history.crashes.iter();
         Self {
             digest,
-            crashes: crashes.map(|crash| CrashNews::new(crash, now)).collect(),
+            crashes: crashes.map(|crash| CrashUpdate::new(crash, now)).collect(),
             cleared_age_ms: history.cleared_at.map(age_ms),
             trials: history.trials,
             tried_age_ms: history.tried_at.map(age_ms),
@@ -51,7 +51,7 @@
         let at = |age_ms: u64| now.before(Duration::from_millis(age_ms));
         let crashes = self.crashes.iter();
         History {
-            crashes: crashes.map(|news| news.crash(now)).collect(),
+            crashes: crashes.map(|update| update.crash(now)).collect(),
             cleared_at: self.cleared_age_ms.map(at),
             trials: self.trials,
             tried_at: self.tried_age_ms.map(at),
--- a/crates/gateway/src/poison/reading.rs
+++ b/crates/gateway/src/poison/read_progress.rs
@@ -2,7 +2,7 @@
 
 /// How far a node has read the records.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reading {
+pub enum ReadProgress {
     /// Not at all yet.
     Unread,
     /// As they were some seconds before.
--- a/crates/gateway/src/poison/record.rs
+++ b/crates/gateway/src/poison/record.rs
@@ -6,7 +6,7 @@
 use ryerouter_core::poison::{Digest, History};
 use serde::{Deserialize, Serialize};
 
-use super::PoisonNews;
+use super::PoisonUpdate;
 
 /// What the store keeps of a request that is held back.
 ///
@@ -16,7 +16,7 @@
 pub struct Record {
     /// What was known when this was written.
     #[serde(flatten)]
-    news: PoisonNews,
+    update: PoisonUpdate,
     /// When that was, in milliseconds since the Unix epoch.
     written_at_ms: u64,
 }
@@ -25,20 +25,20 @@
     /// What is known now, which is `time` by the time of day.
     pub fn new(digest: Digest, history: &History, now: Timestamp, time: SystemTime) -> Self {
         Self {
-            news: PoisonNews::new(digest, history, now),
+            update: PoisonUpdate::new(digest, history, now),
             written_at_ms: millis_of(time),
         }
     }
 
     /// The request.
     pub fn digest(&self) -> Digest {
-        self.news.digest
+        self.update.digest
     }
 
     /// What was known, as of now.
     pub fn history(&self, now: Timestamp, time: SystemTime) -> History {
         let age = millis_of(time).saturating_sub(self.written_at_ms);
-        self.news.history(now.before(Duration::from_millis(age)))
+        self.update.history(now.before(Duration::from_millis(age)))
     }
 }
 
--- a/crates/gateway/src/poison/keeper.rs
+++ b/crates/gateway/src/poison/record_sync.rs
@@ -10,7 +10,7 @@
 use crate::source::{Backoff, Consistency, PoisonStore, RecordWrite, SourceError};
 
 /// Longest time for an answer; the store answers within milliseconds, when it is slow within some hundred.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Waits after a call that failed.
 const BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(200),
@@ -21,7 +21,7 @@
 ///
 /// Nodes keep nothing, and all of them may be killed at once. What was proven by engines that ended would have to be
 /// proven again by as many, each time.
-pub fn keep_records(gateway: Rc<Gateway>, store: Rc<dyn PoisonStore>) -> impl Future<Output = ()> {
+pub fn sync_records(gateway: Rc<Gateway>, store: Rc<dyn PoisonStore>) -> impl Future<Output = ()> {
     gateway.expect_poison_records();
     async move {
         tokio::join!(
@@ -44,7 +44,7 @@
 async fn read_until_done(gateway: &Gateway, store: &dyn PoisonStore, consistency: Consistency) {
     let mut failures = 0;
     loop {
-        let listed = timeout(ANSWER_LIMIT, store.list(consistency)).await;
+        let listed = timeout(STORE_TIMEOUT, store.list(consistency)).await;
         match listed.unwrap_or(Err(SourceError::NoAnswer)) {
             Ok(records) => return gateway.take_poison_records(records, consistency),
             Err(error) => {
@@ -60,7 +60,7 @@
 async fn write_records(gateway: &Gateway, store: &dyn PoisonStore) {
     let mut failures = 0;
     loop {
-        remove_outdated(gateway, store).await;
+        remove_records(gateway, store).await;
         let (record, revision) = match gateway.next_poison_record() {
             Ok(next) => next,
             Err(due_at) => {
@@ -73,7 +73,7 @@
             }
         };
         let digest = record.digest();
-        let written = timeout(ANSWER_LIMIT, store.write(&record, revision)).await;
+        let written = timeout(STORE_TIMEOUT, store.write(&record, revision)).await;
         match written.unwrap_or(Err(SourceError::NoAnswer)) {
             Ok(RecordWrite::Written(revision)) => {
                 failures = 0;
@@ -100,13 +100,13 @@
 }
 
 /// One that is not removed is found by a node that starts later.
-async fn remove_outdated(gateway: &Gateway, store: &dyn PoisonStore) {
+async fn remove_records(gateway: &Gateway, store: &dyn PoisonStore) {
     loop {
-        let outdated = gateway.state_mut().poison_records.take_outdated();
-        let Some((digest, revision)) = outdated else {
+        let removal = gateway.state_mut().poison_records.next_removal();
+        let Some((digest, revision)) = removal else {
             return;
         };
-        let removed = timeout(ANSWER_LIMIT, store.remove(digest, revision)).await;
+        let removed = timeout(STORE_TIMEOUT, store.remove(digest, revision)).await;
         let removed = removed.unwrap_or(Err(SourceError::NoAnswer));
         info!(gateway.log(), "poison_record_removed"; "digest" => %digest, "revision" => revision,
             "error" => removed.err().map(|error| error.to_string()));
--- a/crates/gateway/src/poison/records.rs
+++ b/crates/gateway/src/poison/record_table.rs
@@ -5,7 +5,7 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::poison::Digest;
 
-use super::Reading;
+use super::ReadProgress;
 
 /// The record of one request.
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
     /// Its revision in the store, as far as this node knows.
     revision: Option<u64>,
     /// Whether the store holds one, at whatever revision.
-    is_held: bool,
+    is_stored: bool,
     /// When this node writes what it knows.
     due_at: Option<Timestamp>,
     /// Whether it is being written; what is found out meanwhile is due again.
@@ -22,40 +22,40 @@
 
 /// What a node knows of the records of requests that are held back.
 #[derive(Debug, Default)]
-pub struct Records {
+pub struct RecordTable {
     /// Whether there is a store that keeps them.
-    pub are_kept: bool,
+    pub has_store: bool,
     /// How far they have been read.
-    pub reading: Reading,
+    pub read_progress: ReadProgress,
     /// When a request first had to wait for the reading.
-    pub wanted_at: Option<Timestamp>,
+    pub requested_at: Option<Timestamp>,
     entries: BTreeMap<Digest, Entry>,
     /// Records of requests that are forgotten, and their revisions.
-    outdated: VecDeque<(Digest, u64)>,
+    removals: VecDeque<(Digest, u64)>,
 }
 
-impl Records {
+impl RecordTable {
     /// Revision of a record in the store, as far as this node knows.
     pub fn revision(&self, digest: Digest) -> Option<u64> {
         self.entries.get(&digest)?.revision
     }
 
     /// Whether the store holds a record, as far as this node knows.
-    pub fn is_held(&self, digest: Digest) -> bool {
+    pub fn is_stored(&self, digest: Digest) -> bool {
         let entry = self.entries.get(&digest);
-        entry.is_some_and(|entry| entry.is_held || entry.revision.is_some())
+        entry.is_some_and(|entry| entry.is_stored || entry.revision.is_some())
     }
 
     /// Another node has written a record, or is about to.
-    pub fn note_held(&mut self, digest: Digest) {
-        if self.are_kept {
-            self.entries.entry(digest).or_default().is_held = true;
+    pub fn note_stored(&mut self, digest: Digest) {
+        if self.has_store {
+            self.entries.entry(digest).or_default().is_stored = true;
         }
     }
 
     /// What is known of a request is to be written, at this time at the latest.
-    pub fn write_by(&mut self, digest: Digest, at: Timestamp) {
-        if !self.are_kept {
+    pub fn schedule_write(&mut self, digest: Digest, at: Timestamp) {
+        if !self.has_store {
             return;
         }
         let due_at = &mut self.entries.entry(digest).or_default().due_at;
@@ -78,14 +78,14 @@
     }
 
     /// The store holds what this node knows.
-    pub fn settle(&mut self, digest: Digest) {
+    pub fn cancel_write(&mut self, digest: Digest) {
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.due_at = None;
         }
     }
 
     /// Whether this node has something to write of a request.
-    pub fn is_unsettled(&self, digest: Digest) -> bool {
+    pub fn has_pending_write(&self, digest: Digest) -> bool {
         let entry = self.entries.get(&digest);
         entry.is_some_and(|entry| entry.due_at.is_some() || entry.is_being_written)
     }
@@ -101,17 +101,17 @@
     }
 
     /// A record is to be removed.
-    pub fn remove_later(&mut self, digest: Digest, revision: u64) {
-        self.outdated.push_back((digest, revision));
+    pub fn schedule_removal(&mut self, digest: Digest, revision: u64) {
+        self.removals.push_back((digest, revision));
     }
 
     /// A record that is to be removed.
-    pub fn take_outdated(&mut self) -> Option<(Digest, u64)> {
-        self.outdated.pop_front()
+    pub fn next_removal(&mut self) -> Option<(Digest, u64)> {
+        self.removals.pop_front()
     }
 
     /// What is to be written first, and when.
-    pub fn next(&self) -> Option<(Digest, Timestamp)> {
+    pub fn next_write(&self) -> Option<(Digest, Timestamp)> {
         let due = self.entries.iter();
         let due = due.filter_map(|(digest, entry)| Some((*digest, entry.due_at?)));
         due.min_by_key(|(_, at)| *at)
--- a/crates/gateway/src/relay/event_splitter.rs
+++ b/crates/gateway/src/relay/event_splitter.rs
@@ -6,7 +6,7 @@
 use super::RelayFault;
 
 /// Longest event that is held back for its end.
-const MOST_HELD_BYTES: usize = 1_024 * 1_024;
+const MAX_EVENT_BYTES: usize = 1_024 * 1_024;
 /// Line that begins with the id of an event.
 const ID_FIELD: &str = "id:";
 
@@ -22,22 +22,22 @@
 /// Cuts a stream after whole events, so that a caller never gets part of one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 impl EventSplitter {
     /// Takes bytes and gives the events that are now whole.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<EventBatch>, RelayFault> {
-        self.held.extend_from_slice(bytes);
-        let Some(end) = last_event_end(&self.held) else {
-            if self.held.len() > MOST_HELD_BYTES {
+        self.buffer.extend_from_slice(bytes);
+        let Some(end) = last_event_end(&self.buffer) else {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(RelayFault {
                     detail: format!("event longer than {MOST_HELD_BYTES} bytes"),
                 });
             }
             return Ok(None);
         };
-        let whole = self.held.split_to(end).freeze();
+        let whole = self.buffer.split_to(end).freeze();
         let last_id = last_id(&whole);
         Ok(Some(EventBatch {
             bytes: whole,
@@ -46,13 +46,13 @@
     }
 
     /// Bytes of an event whose end has not come.
-    pub fn held_bytes(&self) -> usize {
-        self.held.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 
     /// Takes the rest of a stream that ended well.
     pub fn finish(&mut self) -> Bytes {
-        self.held.split().freeze()
+        self.buffer.split().freeze()
     }
 }
 
--- a/crates/gateway/src/relay/stream_end.rs
+++ b/crates/gateway/src/relay/stream_end.rs
@@ -16,5 +16,5 @@
     Deadline,
     /// The caller left.
     #[display("caller_left")]
-    CallerLeft,
+    CallerDisconnected,
 }
--- a/crates/gateway/src/request/answer_facts.rs
+++ b/crates/gateway/src/request/answer_facts.rs
@@ -14,7 +14,7 @@
     /// The request certainly has not run and will not.
     pub is_not_executed: bool,
     /// Whether it carries the mark that every true answer of an engine has.
-    pub is_signed: bool,
+    pub has_server_stamp: bool,
     /// Weights that the request runs on.
     pub weights: Option<u64>,
     /// How long the engine keeps the connection idle.
--- a/crates/gateway/src/request/caller_request.rs
+++ b/crates/gateway/src/request/caller_request.rs
@@ -10,7 +10,7 @@
     /// Names this attempt of the caller.
     pub id: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The tenant's key.
     pub key: Option<String>,
     /// Its prompt; `None` for plain requests.
--- a/crates/gateway/src/request/refusal.rs
+++ b/crates/gateway/src/request/refusal.rs
@@ -43,7 +43,7 @@
     NotRun,
     /// Engines have ended under this request again and again.
     #[display("ends_engines")]
-    EndsEngines,
+    CrashesEngines,
     /// The time ran out before the request ran.
     #[display("deadline_not_run")]
     DeadlineNotRun,
@@ -78,7 +78,7 @@
     }
 
     /// Tells the caller when to come back.
-    pub fn come_back_after(mut self, wait: Duration) -> Self {
+    pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
@@ -103,7 +103,7 @@
             RefusalReason::NoConfiguration
             | RefusalReason::ConfigurationUnproven
             | RefusalReason::NoEngine
-            | RefusalReason::EndsEngines
+            | RefusalReason::CrashesEngines
             | RefusalReason::NotRun
             | RefusalReason::DeadlineNotRun => StatusCode::SERVICE_UNAVAILABLE,
         }
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/accept.rs
@@ -12,16 +12,16 @@
 
 use super::accepted_request::AcceptedRequest;
 use super::body_reader::BodyReader;
-use super::forwarded_headers::keep_forwarded;
+use super::hop_by_hop_headers::remove_hop_by_hop;
 use crate::catalogue::{Route, RoutingTable, Tenant};
 use crate::gateway::Gateway;
 use crate::request::{CallerRequest, Refusal, RefusalReason};
 
 /// When to come back to a node that has no configuration yet, an unproven one, or one that leads
 /// nowhere: the next one takes about this long to arrive.
-const COME_BACK_AFTER: Duration = Duration::from_millis(300);
+const CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
 /// The same when this node is cut off: others serve at once, and callers find them.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(50);
+const OTHER_NODE_RETRY: Duration = Duration::from_millis(50);
 
 /// Checks a request whose head has been read, and reads its body.
 pub(super) async fn accept(
@@ -40,17 +40,17 @@
     };
     let table = gateway.state().table.clone().ok_or_else(|| {
         Refusal::new(RefusalReason::NoConfiguration, "no configuration yet")
-            .come_back_after(COME_BACK_AFTER)
+            .with_retry_after(CONFIGURATION_RETRY)
     })?;
     let route = find_route(&table, &head)?;
     let tenant = find_tenant(gateway, &table, &route, &caller)?;
     let pool = route.pool_of(&caller.id).cloned().ok_or_else(|| {
         Refusal::new(RefusalReason::NoEngine, "route without a pool")
-            .come_back_after(COME_BACK_AFTER)
+            .with_retry_after(CONFIGURATION_RETRY)
     })?;
-    let patience = patience(&caller, &route);
+    let timeout = request_timeout(&caller, &route);
     let mut headers = head.headers;
-    keep_forwarded(&mut headers);
+    remove_hop_by_hop(&mut headers);
     let uri = head.uri.path_and_query().cloned();
     Ok(AcceptedRequest {
         caller,
@@ -63,7 +63,7 @@
         route,
         configuration_version: table.version(),
         arrived_at,
-        deadline: arrived_at.after(patience),
+        deadline: arrived_at.after(timeout),
         digest: OnceCell::new(),
     })
 }
@@ -80,20 +80,23 @@
     let limits = table.as_ref().map(|table| table.limits().clone());
     let limits = limits.unwrap_or_default();
     let route = table.and_then(|table| find_route(&table, head).ok());
-    let (time, late) = match route {
-        Some(route) => (patience(caller, &route), RefusalReason::DeadlineNotRun),
+    let (time, late_reason) = match route {
+        Some(route) => (
+            request_timeout(caller, &route),
+            RefusalReason::DeadlineNotRun,
+        ),
         None => (limits.idle_timeout, RefusalReason::BodyTooSlow),
     };
     BodyReader {
-        most_bytes: limits.body_bytes,
-        longest_pause: limits.idle_timeout,
+        max_bytes: limits.body_bytes,
+        idle_timeout: limits.idle_timeout,
         deadline: gateway.clock().instant(arrived_at.after(time)),
-        late,
+        late_reason,
     }
 }
 
-fn patience(caller: &CallerRequest, route: &Route) -> Duration {
-    caller.patience.unwrap_or(route.timeout).min(route.timeout)
+fn request_timeout(caller: &CallerRequest, route: &Route) -> Duration {
+    caller.timeout.unwrap_or(route.timeout).min(route.timeout)
 }
 
 fn find_route(table: &RoutingTable, head: &Parts) -> Result<Rc<Route>, Refusal> {
@@ -123,10 +126,10 @@
             let detail = format!("configuration not proven current for {age} ms");
             let refusal = Refusal::new(RefusalReason::ConfigurationUnproven, detail);
             let wait = match gateway.is_cut_off() {
-                true => COME_BACK_ELSEWHERE,
-                false => COME_BACK_AFTER,
+                true => OTHER_NODE_RETRY,
+                false => CONFIGURATION_RETRY,
             };
-            return Err(refusal.come_back_after(wait));
+            return Err(refusal.with_retry_after(wait));
         }
     }
     let tenant = caller.key.as_ref().and_then(|key| table.tenant_of(key));
--- a/crates/gateway/src/serve/active_request.rs
+++ b/crates/gateway/src/serve/active_request.rs
@@ -6,7 +6,7 @@
 use ryerouter_core::Timestamp;
 use slog::{info, warn};
 
-use super::held_request::HeldRequest;
+use super::request_progress::RequestProgress;
 use crate::gateway::Gateway;
 
 /// Counts a request while it lasts, and logs that its caller left when nothing else ended it.
@@ -16,7 +16,7 @@
     arrived_at: Timestamp,
     is_ended: Cell<bool>,
     /// Where it is held.
-    pub(super) held: Rc<HeldRequest>,
+    pub(super) progress: Rc<RequestProgress>,
 }
 
 impl ActiveRequest {
@@ -27,7 +27,7 @@
             id: id.to_owned(),
             arrived_at,
             is_ended: Cell::new(false),
-            held: Rc::default(),
+            progress: Rc::default(),
         }
     }
 
@@ -41,8 +41,8 @@
     /// The request ended without a good answer: tells how long it was held, and where.
     pub(super) fn end_unserved(&self, outcome: &str) {
         self.end(outcome);
-        let held = &self.held;
-        let at = held.at().to_string();
+        let progress = &self.progress;
+        let at = progress.phase().to_string();
         let held_ms = self.elapsed_ms();
         let seconds = held_ms as f64 / 1e3;
         let metric = &self.gateway.metrics().held_seconds;
@@ -53,9 +53,9 @@
         };
         warn!(self.gateway.log(), "request_unserved"; "request" => &self.id,
             "outcome" => outcome, "held_ms" => held_ms, "at" => at,
-            "kind" => held.kind.get(), "route" => held.route.borrow().as_str(),
-            "attempts_left" => held.attempts_left.get(),
-            "may_have_run" => held.may_have_run(), "left_out" => left_out);
+            "kind" => progress.kind.get(), "route" => progress.route.borrow().as_str(),
+            "attempts_left" => progress.attempts_left.get(),
+            "may_have_run" => progress.may_have_run(), "left_out" => left_out);
     }
 
     /// Milliseconds since its head arrived.
--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -14,7 +14,7 @@
 pub(super) struct AnswerReporter {
     gateway: Rc<Gateway>,
     /// `None` after the end, and where there are no releases.
-    watch: Option<AnswerTiming>,
+    timing: Option<AnswerTiming>,
 }
 
 impl AnswerReporter {
@@ -26,38 +26,38 @@
     ) -> Self {
         Self {
             gateway: Rc::clone(gateway),
-            watch: gateway.watch_answer(request, placement),
+            timing: gateway.watch_answer(request, placement),
         }
     }
 
     /// The next bytes are waited for.
     pub(super) fn begin_wait(&mut self) {
-        if let Some(watch) = &mut self.watch {
-            watch.begin_wait(self.gateway.clock().now());
+        if let Some(timing) = &mut self.timing {
+            timing.begin_wait(self.gateway.clock().now());
         }
     }
 
     /// They came, or the stream ended.
     pub(super) fn end_wait(&mut self) {
-        if let Some(watch) = &mut self.watch {
-            watch.end_wait(self.gateway.clock().now());
+        if let Some(timing) = &mut self.timing {
+            timing.end_wait(self.gateway.clock().now());
         }
     }
 
     /// Whole events came.
     pub(super) fn note_events(&mut self, bytes: &[u8]) {
-        if let Some(watch) = &mut self.watch {
+        if let Some(timing) = &mut self.timing {
             let plain = memmem::find_iter(bytes, b"\n\n").count();
             let with_returns = memmem::find_iter(bytes, b"\r\n\r\n").count();
-            watch.note_events((plain + with_returns) as u32, self.gateway.clock().now());
+            timing.note_events((plain + with_returns) as u32, self.gateway.clock().now());
         }
     }
 
     /// The answer has ended.
     pub(super) fn end(&mut self, end: AnswerEnd) {
-        if let Some(mut watch) = self.watch.take() {
-            watch.end_wait(self.gateway.clock().now());
-            self.gateway.note_release_answer(&watch, end);
+        if let Some(mut timing) = self.timing.take() {
+            timing.end_wait(self.gateway.clock().now());
+            self.gateway.note_release_answer(&timing, end);
         }
     }
 }
@@ -70,6 +70,6 @@
 
 impl fmt::Debug for AnswerReporter {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.watch.fmt(formatter)
+        self.timing.fmt(formatter)
     }
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -13,11 +13,11 @@
 
 use super::accepted_request::AcceptedRequest;
 use super::answer_reporter::AnswerReporter;
-use super::attempt_end::AttemptEnd;
-use super::doubt::Doubt;
-use super::held_request::HeldRequest;
-use super::list_state::ListState;
+use super::attempt_error::AttemptError;
+use super::engine_list_state::EngineListState;
 use super::live_answer::LiveAnswer;
+use super::request_progress::RequestProgress;
+use super::silence_cause::SilenceCause;
 use crate::engines::{AwaitedPart, EngineLoad, InFlight};
 use crate::gateway::Gateway;
 use crate::placement::Placement;
@@ -26,12 +26,12 @@
 use crate::upstream::{AttemptFailure, UpstreamAnswer};
 
 /// An engine with other weights than expected is avoided for so long: it is about to load.
-const AVOID_MISDIRECTED: Duration = Duration::from_millis(300);
+const MISDIRECTED_BACKOFF: Duration = Duration::from_millis(300);
 /// An engine that ends under a run does so within some tens of milliseconds. Longer would keep one at work on a request
 /// that has gone elsewhere.
-const WATCHED_FOR: Duration = Duration::from_millis(200);
+const CRASH_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Longest time for the rest of a refusal whose connection is to be kept.
-const REFUSAL_REST: Duration = Duration::from_millis(200);
+const REFUSAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Sends a request to the chosen engine and waits for the head of a usable answer.
 pub(super) async fn attempt(
@@ -39,17 +39,17 @@
     request: &AcceptedRequest,
     placement: &Placement,
     last_event_id: Option<&str>,
-    held: &HeldRequest,
-) -> Result<LiveAnswer, AttemptEnd> {
+    progress: &RequestProgress,
+) -> Result<LiveAnswer, AttemptError> {
     let in_flight = count_in_flight(gateway, request, placement)
-        .ok_or_else(|| AttemptEnd::NotConnected("engine gone".to_owned()))?;
-    let list = ListState::now(gateway, placement);
-    list.note(gateway, request, placement);
-    held.list.set(list);
+        .ok_or_else(|| AttemptError::NotConnected("engine gone".to_owned()))?;
+    let engine_list = EngineListState::now(gateway, placement);
+    engine_list.note(gateway, request, placement);
+    progress.engine_list.set(engine_list);
     let sent_at = gateway.clock().now();
     gateway.note_request_sent(&placement.engine);
     let message = build_message(gateway, request, placement, last_event_id);
-    let mut watched = AnswerReporter::begin(gateway, request, placement);
+    let mut reporter = AnswerReporter::begin(gateway, request, placement);
     let is_repeatable = request.route.is_idempotent();
     let sent = gateway
         .upstream()
@@ -58,24 +58,24 @@
             placement.address,
             message,
             is_repeatable,
-            &held.used,
+            &progress.connection_use,
         )
         .await;
     let answer = sent.map_err(|failure| {
-        let end = match failure {
-            AttemptFailure::NotConnected { detail } => AttemptEnd::NotConnected(detail),
-            AttemptFailure::Broken { detail, .. } => AttemptEnd::Broken(detail),
+        let error = match failure {
+            AttemptFailure::NotConnected { detail } => AttemptError::NotConnected(detail),
+            AttemptFailure::Broken { detail, .. } => AttemptError::Broken(detail),
         };
-        watched.end(end.of_answer());
-        end
+        reporter.end(error.answer_end());
+        error
     })?;
-    let head_after = gateway.clock().now().since(sent_at);
-    note_head(gateway, request, placement, sent_at, head_after);
+    let time_to_head = gateway.clock().now().since(sent_at);
+    note_head(gateway, request, placement, sent_at, time_to_head);
     let facts = gateway.dialect().read_answer(&answer.head);
-    if speaks_of_its_engine(request, &answer, &facts) && gateway.is_in_life_of(placement) {
+    if is_from_intended_engine(request, &answer, &facts) && gateway.is_in_life_of(placement) {
         gateway.note_signal(&request.caller.id, &placement.engine, &facts, sent_at);
     }
-    match judge_head(request, &answer, &facts) {
+    match check_head(request, &answer, &facts) {
         Ok(()) => {
             note_accepted(gateway, request, placement, &facts);
             Ok(LiveAnswer::new(
@@ -83,17 +83,17 @@
                 facts,
                 placement.clone(),
                 in_flight,
-                watched,
-                head_after,
+                reporter,
+                time_to_head,
             ))
         }
-        Err(end) => {
-            watched.end(end.of_answer());
-            match end.may_have_run() {
-                true => watch_run(gateway, Run::new(request, placement, sent_at), answer),
-                false => keep_after_refusal(gateway, placement, answer, &facts),
+        Err(error) => {
+            reporter.end(error.answer_end());
+            match error.may_have_run() {
+                true => watch_for_crash(gateway, Run::new(request, placement, sent_at), answer),
+                false => drain_refusal(gateway, placement, answer, &facts),
             }
-            Err(end)
+            Err(error)
         }
     }
 }
@@ -144,7 +144,7 @@
 
 /// Whether what the head says of its engine is to be believed: the answer is to this request, and by the engine that
 /// it was sent to, not by another process at the same address.
-fn speaks_of_its_engine(
+fn is_from_intended_engine(
     request: &AcceptedRequest,
     answer: &UpstreamAnswer,
     facts: &AnswerFacts,
@@ -152,31 +152,31 @@
     let status = answer.head.status;
     let id = facts.request_id.as_ref();
     let is_own = id.is_none_or(|id| *id == request.caller.id);
-    let is_genuine = facts.is_signed || !status.is_success();
+    let is_genuine = facts.has_server_stamp || !status.is_success();
     is_own && is_genuine && status != StatusCode::MISDIRECTED_REQUEST
 }
 
 /// Whether the head is a usable answer to this request.
-fn judge_head(
+fn check_head(
     request: &AcceptedRequest,
     answer: &UpstreamAnswer,
     facts: &AnswerFacts,
-) -> Result<(), AttemptEnd> {
+) -> Result<(), AttemptError> {
     let status = answer.head.status;
     let is_foreign = facts
         .request_id
         .as_ref()
         .is_some_and(|id| *id != request.caller.id);
     if is_foreign {
-        return Err(AttemptEnd::MayHaveRun(
+        return Err(AttemptError::MayHaveRun(
             "answer to another request".to_owned(),
         ));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(AttemptEnd::Misdirected(format!("{:?}", facts.weights)));
+        return Err(AttemptError::Misdirected(format!("{:?}", facts.weights)));
     }
     if facts.is_not_executed {
-        return Err(AttemptEnd::NoRoom(status.as_u16()));
+        return Err(AttemptError::NoRoom(status.as_u16()));
     }
     // These promise that nothing ran, which nothing but the engine's mark can promise.
     let is_promise = matches!(
@@ -187,12 +187,14 @@
     );
     if is_promise {
         let detail = format!("status {} without the mark of not run", status.as_u16());
-        return Err(AttemptEnd::MayHaveRun(detail));
+        return Err(AttemptError::MayHaveRun(detail));
     }
     let is_encoded = answer.head.headers.contains_key(CONTENT_ENCODING);
-    let is_unsigned = !facts.is_signed || facts.request_id.is_none();
+    let is_unsigned = !facts.has_server_stamp || facts.request_id.is_none();
     if status.is_success() && (is_encoded || is_unsigned) {
-        return Err(AttemptEnd::MayHaveRun("not an engine's answer".to_owned()));
+        return Err(AttemptError::MayHaveRun(
+            "not an engine's answer".to_owned(),
+        ));
     }
     Ok(())
 }
@@ -203,7 +205,7 @@
     request: &AcceptedRequest,
     placement: &Placement,
     sent_at: Timestamp,
-    head_after: Duration,
+    time_to_head: Duration,
 ) {
     let is_in_life = gateway.is_in_life_of(placement);
     let mut state = gateway.state_mut();
@@ -213,7 +215,7 @@
     }
     let route = &request.route.name;
     let times = &mut state.part_times;
-    times.note(&request.pool, route, AwaitedPart::Head, head_after);
+    times.note(&request.pool, route, AwaitedPart::Head, time_to_head);
 }
 
 /// The engine took the request; its answer tells its weights.
@@ -237,7 +239,7 @@
 }
 
 /// Reads the short rest of a refusal, so that its connection can be kept.
-fn keep_after_refusal(
+fn drain_refusal(
     gateway: &Rc<Gateway>,
     placement: &Placement,
     answer: UpstreamAnswer,
@@ -247,7 +249,7 @@
     let placement = placement.clone();
     let idle_timeout = facts.idle_timeout;
     spawn_local(async move {
-        let rest = timeout(REFUSAL_REST, answer.body.collect()).await;
+        let rest = timeout(REFUSAL_DRAIN_TIMEOUT, answer.body.collect()).await;
         if matches!(rest, Ok(Ok(_))) && gateway.is_in_life_of(&placement) {
             gateway
                 .upstream()
@@ -258,18 +260,18 @@
 
 /// Waits for a moment whether the engine ends under a run whose answer was not taken: the request comes again, and
 /// would end the next one.
-fn watch_run(gateway: &Rc<Gateway>, run: Run, answer: UpstreamAnswer) {
+fn watch_for_crash(gateway: &Rc<Gateway>, run: Run, answer: UpstreamAnswer) {
     let gateway = Rc::clone(gateway);
     spawn_local(async move {
-        let breaks_off = timeout(WATCHED_FOR, breaks_off(answer.body));
-        if breaks_off.await == Ok(true) {
+        let ends_in_error = timeout(CRASH_WATCH_TIMEOUT, ends_in_error(answer.body));
+        if ends_in_error.await == Ok(true) {
             gateway.note_broken_run(&run);
         }
     });
 }
 
 /// Reads an answer to its end; whether it broke off.
-async fn breaks_off(mut body: Incoming) -> bool {
+async fn ends_in_error(mut body: Incoming) -> bool {
     loop {
         match body.frame().await {
             Some(Ok(_)) => {}
@@ -280,11 +282,11 @@
 }
 
 /// Takes how an attempt ended into what is believed of the engine.
-pub(super) fn learn(
+pub(super) fn apply_attempt_error(
     gateway: &Gateway,
     model: Option<&str>,
     placement: &Placement,
-    end: &AttemptEnd,
+    error: &AttemptError,
 ) {
     let expected = model.zip(placement.weights);
     let now = gateway.clock().now();
@@ -293,25 +295,27 @@
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
     if let Some(engine) = engine.filter(|_| is_in_life) {
-        match end {
-            AttemptEnd::NotConnected(_) => engine.health.unreachable(now),
-            AttemptEnd::NoRoom(_) => {
+        match error {
+            AttemptError::NotConnected(_) => engine.health.unreachable(now),
+            AttemptError::NoRoom(_) => {
                 engine.health.answered();
                 engine.note_full(now);
             }
-            AttemptEnd::Misdirected(_) => {
-                let until = now.after(AVOID_MISDIRECTED);
+            AttemptError::Misdirected(_) => {
+                let until = now.after(MISDIRECTED_BACKOFF);
                 engine.note_misdirected(expected, until);
             }
-            AttemptEnd::Silent(Doubt::Connection) => {}
+            AttemptError::Silent(SilenceCause::Connection) => {}
             // Its work is no longer counted there, so it would look idle and attract more.
-            AttemptEnd::Silent(Doubt::Engine) => engine.health.failed(now),
-            AttemptEnd::EngineError(_) | AttemptEnd::Broken(_) | AttemptEnd::MayHaveRun(_) => {
+            AttemptError::Silent(SilenceCause::Engine) => engine.health.failed(now),
+            AttemptError::EngineError(_)
+            | AttemptError::Broken(_)
+            | AttemptError::MayHaveRun(_) => {
                 engine.health.failed(now);
             }
         }
     }
     drop(state);
     let attempts = &gateway.metrics().attempts;
-    attempts.with_label_values(&[end.label()]).inc();
+    attempts.with_label_values(&[error.label()]).inc();
 }
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_error.rs
@@ -2,12 +2,12 @@
 
 use derive_more::Display;
 
-use super::doubt::Doubt;
+use super::silence_cause::SilenceCause;
 use crate::release::AnswerEnd;
 
 /// How an attempt ended without a usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub(super) enum AttemptEnd {
+pub(super) enum AttemptError {
     /// Nothing was written.
     #[display("not_connected: {_0}")]
     NotConnected(String),
@@ -22,7 +22,7 @@
     EngineError(u16),
     /// Nothing came for longer than answers take; it may have run.
     #[display("silent: {_0}")]
-    Silent(Doubt),
+    Silent(SilenceCause),
     /// The connection ended before the answer did; it may have run, and its engine may have ended.
     #[display("may_have_run: {_0}")]
     Broken(String),
@@ -31,9 +31,9 @@
     MayHaveRun(String),
 }
 
-impl AttemptEnd {
+impl AttemptError {
     /// Whether the request reached the engine, so that the attempt counts in the retry budget.
-    pub(super) fn has_arrived(&self) -> bool {
+    pub(super) fn reached_engine(&self) -> bool {
         !matches!(self, Self::NotConnected(_))
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// What it says of the answer.
-    pub(super) fn of_answer(&self) -> AnswerEnd {
+    pub(super) fn answer_end(&self) -> AnswerEnd {
         match self {
             Self::NotConnected(_) | Self::NoRoom(_) | Self::Misdirected(_) => AnswerEnd::NotRun,
             Self::Silent(_) => AnswerEnd::Left,
--- a/crates/gateway/src/serve/connection_server.rs
+++ b/crates/gateway/src/serve/connection_server.rs
@@ -15,16 +15,16 @@
 use crate::gateway::Gateway;
 
 /// Smallest read buffer that the library allows.
-const LEAST_BUFFER_BYTES: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// Accepts connections of callers and serves their requests, until dropped.
 pub async fn serve_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     let connections = OpenConnections::within(&gateway, DescriptorShare::Callers);
-    serve_callers_on(gateway, listener, connections).await;
+    serve_callers_with(gateway, listener, connections).await;
 }
 
 /// The same with another bound on how many there may be.
-pub async fn serve_callers_on(
+pub async fn serve_callers_with(
     gateway: Rc<Gateway>,
     listener: TcpListener,
     connections: Rc<OpenConnections>,
@@ -43,7 +43,7 @@
     server
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES));
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
     let answer = |request| respond(Rc::clone(&gateway), request);
     serve_connection(connection, stream, server, gateway.left(), answer).await;
 }
--- a/crates/gateway/src/serve/list_state.rs
+++ b/crates/gateway/src/serve/engine_list_state.rs
@@ -17,7 +17,7 @@
     revision.map_or(-1, |revision| revision as i64),
     age.map_or(-1, |age| age.as_millis() as i64)
 )]
-pub(super) struct ListState {
+pub(super) struct EngineListState {
     /// Revision of the source that the list has come to.
     revision: Option<u64>,
     /// How long ago the list was certainly current.
@@ -28,7 +28,7 @@
     is_unlisted: bool,
 }
 
-impl ListState {
+impl EngineListState {
     /// The state now.
     pub(super) fn now(gateway: &Gateway, placement: &Placement) -> Self {
         let now = gateway.clock().now();
--- a/crates/gateway/src/serve/planned_stop.rs
+++ b/crates/gateway/src/serve/graceful_shutdown.rs
@@ -8,13 +8,13 @@
 
 use crate::gateway::Gateway;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a planned stop goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StopSettings {
+pub struct ShutdownSettings {
     /// Callers that learnt of this node before are served for so long; then the listener closes.
-    pub late_callers: Duration,
+    pub accept_grace: Duration,
     /// The process ends after this time, whatever still runs.
     pub grace: Duration,
 }
@@ -23,18 +23,22 @@
 ///
 /// `accepting` is the task that accepts callers; it ends, with its listener, even while requests
 /// run, since one that came later might be cut at the end of the grace period.
-pub async fn planned_stop(gateway: &Gateway, accepting: JoinHandle<()>, settings: &StopSettings) {
+pub async fn graceful_shutdown(
+    gateway: &Gateway,
+    accepting: JoinHandle<()>,
+    settings: &ShutdownSettings,
+) {
     let began = Instant::now();
     gateway.leave();
     let end = began + settings.grace;
     while Instant::now() < end {
-        if began.elapsed() >= settings.late_callers {
+        if began.elapsed() >= settings.accept_grace {
             accepting.abort();
             if gateway.state().active_requests == 0 {
                 break;
             }
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     accepting.abort();
     info!(gateway.log(), "stop"; "active_requests" => gateway.state().active_requests,
--- a/crates/gateway/src/serve/forwarded_headers.rs
+++ b/crates/gateway/src/serve/hop_by_hop_headers.rs
@@ -6,7 +6,7 @@
 };
 
 /// Headers that concern one connection only, or that the library sets.
-const OF_ONE_CONNECTION: [HeaderName; 9] = [
+const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -21,13 +21,13 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
 /// Removes headers that concern one connection only, and those that `Connection` names.
-pub(super) fn keep_forwarded(headers: &mut HeaderMap) {
+pub(super) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let mut named: Vec<HeaderName> = Vec::new();
     for value in headers.get_all(CONNECTION) {
         let names = value.to_str().unwrap_or_default().split(',');
         named.extend(names.filter_map(|name| name.trim().parse().ok()));
     }
-    for name in named.iter().chain(&OF_ONE_CONNECTION) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -9,7 +9,7 @@
 use hyper::header::HeaderMap;
 
 use super::answer_reporter::AnswerReporter;
-use super::forwarded_headers::keep_forwarded;
+use super::hop_by_hop_headers::remove_hop_by_hop;
 use crate::engines::InFlight;
 use crate::gateway::Gateway;
 use crate::placement::Placement;
@@ -18,7 +18,7 @@
 use crate::upstream::Connection;
 
 /// Longest answer that is not a stream.
-const MOST_WHOLE_BYTES: usize = 8 * 1_024 * 1_024;
+const MAX_WHOLE_BYTES: usize = 8 * 1_024 * 1_024;
 
 /// An answer of an engine whose head has been accepted.
 #[derive(Debug)]
@@ -30,11 +30,11 @@
     pub(super) placement: Placement,
     pub(super) in_flight: InFlight,
     /// How it ends is told.
-    pub(super) watched: AnswerReporter,
+    pub(super) reporter: AnswerReporter,
     /// From the attempt's begin to the head.
-    pub(super) head_after: Duration,
+    pub(super) time_to_head: Duration,
     connection: Connection,
-    keeps_connection: bool,
+    is_connection_reusable: bool,
 }
 
 impl LiveAnswer {
@@ -43,12 +43,12 @@
         facts: AnswerFacts,
         placement: Placement,
         in_flight: InFlight,
-        watched: AnswerReporter,
-        head_after: Duration,
+        reporter: AnswerReporter,
+        time_to_head: Duration,
     ) -> Self {
         let mut headers = answer.head.headers;
-        let keeps_connection = !closes(&headers);
-        keep_forwarded(&mut headers);
+        let is_connection_reusable = !closes_connection(&headers);
+        remove_hop_by_hop(&mut headers);
         Self {
             status: answer.head.status,
             headers,
@@ -56,18 +56,21 @@
             body: answer.body,
             placement,
             in_flight,
-            watched,
-            head_after,
+            reporter,
+            time_to_head,
             connection: answer.connection,
-            keeps_connection,
+            is_connection_reusable,
         }
     }
 
     /// Reads the rest of an answer that is not a stream, and keeps the connection.
-    pub(super) async fn read_whole(mut self, gateway: &Gateway) -> Result<WholeAnswer, String> {
-        let body = Limited::new(&mut self.body, MOST_WHOLE_BYTES);
+    pub(super) async fn read_complete(
+        mut self,
+        gateway: &Gateway,
+    ) -> Result<CompleteAnswer, String> {
+        let body = Limited::new(&mut self.body, MAX_WHOLE_BYTES);
         let collected = body.collect().await;
-        self.watched.end(match &collected {
+        self.reporter.end(match &collected {
             Ok(_) if !self.status.is_server_error() => AnswerEnd::Whole {
                 is_success: self.status.is_success(),
             },
@@ -76,7 +79,7 @@
         let bytes = collected.map_err(|error| error.to_string())?.to_bytes();
         let (status, headers) = (self.status, std::mem::take(&mut self.headers));
         let placement = self.release(gateway);
-        Ok(WholeAnswer {
+        Ok(CompleteAnswer {
             status,
             headers,
             bytes,
@@ -91,7 +94,7 @@
 
     /// Keeps the connection of an answer that was read to its end.
     pub(super) fn release(self, gateway: &Gateway) -> Placement {
-        if self.keeps_connection && gateway.is_in_life_of(&self.placement) {
+        if self.is_connection_reusable && gateway.is_in_life_of(&self.placement) {
             let engine = &self.placement.engine;
             gateway
                 .upstream()
@@ -103,14 +106,14 @@
 
 /// An answer that was read to its end.
 #[derive(Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct CompleteAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) bytes: Bytes,
     pub(super) placement: Placement,
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(hyper::header::CONNECTION);
     let mut texts = values.iter().filter_map(|value| value.to_str().ok());
     texts.any(|text| text.to_ascii_lowercase().contains("close"))
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,27 +1,27 @@
 //! The life of a request: intake, attempts, answer.
 
+mod accept;
 mod accepted_request;
 mod active_request;
 mod answer_body;
 mod answer_reporter;
 mod attempt;
-mod attempt_end;
+mod attempt_error;
 mod body_reader;
 mod connection_server;
-mod doubt;
-mod exchange;
-mod forwarded_headers;
-mod held_at;
-mod held_request;
-mod intake;
-mod list_state;
+mod engine_list_state;
+mod graceful_shutdown;
+mod hop_by_hop_headers;
 mod live_answer;
-mod planned_stop;
+mod request_forwarder;
+mod request_phase;
+mod request_progress;
 mod respond;
-mod silence_limits;
+mod silence_cause;
+mod silence_detector;
 mod stream_relay;
 
 pub use accepted_request::AcceptedRequest;
 pub use answer_body::AnswerBody;
-pub use connection_server::{serve_callers, serve_callers_on};
-pub use planned_stop::{StopSettings, planned_stop};
+pub use connection_server::{serve_callers, serve_callers_with};
+pub use graceful_shutdown::{ShutdownSettings, graceful_shutdown};
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -10,13 +10,13 @@
 use tokio::time::sleep_until;
 
 use super::accepted_request::AcceptedRequest;
-use super::attempt::{attempt, learn};
-use super::attempt_end::AttemptEnd;
-use super::doubt::Doubt;
-use super::held_at::HeldAt;
-use super::held_request::HeldRequest;
-use super::live_answer::{LiveAnswer, WholeAnswer};
-use super::silence_limits::SilenceLimits;
+use super::attempt::{apply_attempt_error, attempt};
+use super::attempt_error::AttemptError;
+use super::live_answer::{CompleteAnswer, LiveAnswer};
+use super::request_phase::RequestPhase;
+use super::request_progress::RequestProgress;
+use super::silence_cause::SilenceCause;
+use super::silence_detector::SilenceDetector;
 use crate::catalogue::RequestKind;
 use crate::engines::AwaitedPart;
 use crate::gateway::Gateway;
@@ -31,51 +31,51 @@
 
 /// The answer of an engine as far as it must be known before the caller gets its head.
 pub(super) enum FirstAnswer {
-    Whole(Box<WholeAnswer>),
+    Whole(Box<CompleteAnswer>),
     Stream(Box<LiveAnswer>),
 }
 
 /// All attempts of one request.
-pub(super) struct Exchange {
+pub(super) struct RequestForwarder {
     pub(super) gateway: Rc<Gateway>,
     pub(super) request: AcceptedRequest,
     /// What is told if it ends unserved.
-    pub(super) held: Rc<HeldRequest>,
+    pub(super) progress: Rc<RequestProgress>,
     /// Back ends that got it, or could not be reached.
     tried: Vec<BackEndName>,
     /// How many back ends it arrived at.
     pub(super) arrivals: u32,
     pub(super) may_have_run: bool,
     /// Whether the next attempt has been taken from the budget already.
-    is_retry_paid: bool,
+    is_retry_prepaid: bool,
     /// Whether it is tried while it is held back.
     is_trial: bool,
     /// The back end whose connection was given up last: on a new one it may serve.
     silent_engine: Option<BackEndName>,
     /// Whether an engine began to answer.
-    has_answer: bool,
+    has_answer_begun: bool,
     /// When the last attempt began.
-    attempted_at: Timestamp,
+    attempt_started_at: Timestamp,
 }
 
-impl Exchange {
+impl RequestForwarder {
     pub(super) fn new(
         gateway: Rc<Gateway>,
         request: AcceptedRequest,
-        held: Rc<HeldRequest>,
+        progress: Rc<RequestProgress>,
     ) -> Self {
         Self {
-            held,
+            progress,
             gateway,
             request,
             tried: Vec::new(),
             arrivals: 0,
             may_have_run: false,
-            is_retry_paid: false,
+            is_retry_prepaid: false,
             is_trial: false,
             silent_engine: None,
-            has_answer: false,
-            attempted_at: Timestamp::ZERO,
+            has_answer_begun: false,
+            attempt_started_at: Timestamp::ZERO,
         }
     }
 
@@ -90,10 +90,10 @@
             }
             let placement = live.placement.clone();
             let gateway = Rc::clone(&self.gateway);
-            match live.read_whole(&gateway).await {
-                Ok(whole) if whole.status.is_server_error() && self.may_run_again() => {
-                    let end = AttemptEnd::EngineError(whole.status.as_u16());
-                    self.note_end(&placement, &end);
+            match live.read_complete(&gateway).await {
+                Ok(whole) if whole.status.is_server_error() && self.may_retry() => {
+                    let error = AttemptError::EngineError(whole.status.as_u16());
+                    self.note_failure(&placement, &error);
                 }
                 Ok(whole) => {
                     self.note_success(&placement);
@@ -103,10 +103,10 @@
                     return Ok(FirstAnswer::Whole(Box::new(whole)));
                 }
                 Err(detail) => {
-                    let end = AttemptEnd::Broken(detail);
-                    self.note_end(&placement, &end);
-                    if !self.may_run_again() {
-                        return Err(self.refusal_after(&end));
+                    let error = AttemptError::Broken(detail);
+                    self.note_failure(&placement, &error);
+                    if !self.may_retry() {
+                        return Err(self.failure_refusal(&error));
                     }
                 }
             }
@@ -123,50 +123,52 @@
             // the retry budget count: only what all nodes know of it keeps it from the next engine.
             let is_known = self.gateway.knows_poison(&self.request).await;
             if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
-                return Err(self.ends_engines(NO_ENGINE_RETRY));
+                return Err(self.poison_refusal(NO_ENGINE_RETRY));
             }
             let verdict = self.verdict();
             if let Verdict::Refused { come_back_after } = verdict {
-                return Err(self.ends_engines(come_back_after));
+                return Err(self.poison_refusal(come_back_after));
             }
-            let placement = self.place(verdict).ok_or_else(|| self.no_engine())?;
-            let is_paid = std::mem::take(&mut self.is_retry_paid) || self.arrivals == 0;
-            if !is_paid && !self.gateway.spend_retry(&self.request.pool) {
-                return Err(self.without_budget());
+            let placement = self
+                .place(verdict)
+                .ok_or_else(|| self.no_engine_refusal())?;
+            let is_prepaid = std::mem::take(&mut self.is_retry_prepaid) || self.arrivals == 0;
+            if !is_prepaid && !self.gateway.spend_retry(&self.request.pool) {
+                return Err(self.budget_refusal());
             }
             let is_trial = verdict == Verdict::Trial;
             if is_trial && !std::mem::replace(&mut self.is_trial, true) {
                 self.gateway.begin_trial(&self.request).await;
             }
-            if self.may_have_run && !self.has_answer {
+            if self.may_have_run && !self.has_answer_begun {
                 self.gateway.charge_again(&self.request);
             }
-            self.held.attempt_begins();
-            let left = self.request.route.most_attempts;
-            self.held
+            self.progress.begin_attempt();
+            let left = self.request.route.max_attempts;
+            self.progress
                 .attempts_left
                 .set(left.saturating_sub(self.arrivals + 1));
             let is_first = self.tried.is_empty();
             let pool = &self.request.pool;
             self.gateway.note_sent(pool, &placement, is_first);
-            self.attempted_at = self.gateway.clock().now();
-            let attempted = self.watched_attempt(&placement, last_event_id).await;
+            self.attempt_started_at = self.gateway.clock().now();
+            let attempted = self.attempt_until_silent(&placement, last_event_id).await;
             match attempted {
                 Ok(live) => {
-                    self.has_answer = true;
+                    self.has_answer_begun = true;
                     self.arrivals += 1;
                     self.tried.push(placement.engine);
                     return Ok(live);
                 }
-                Err(end) => {
+                Err(error) => {
                     self.tried.push(placement.engine.clone());
-                    self.arrivals += u32::from(end.has_arrived());
-                    self.is_retry_paid = matches!(end, AttemptEnd::Silent(_));
-                    self.note_end(&placement, &end);
-                    let is_last = self.arrivals >= self.request.route.most_attempts;
+                    self.arrivals += u32::from(error.reached_engine());
+                    self.is_retry_prepaid = matches!(error, AttemptError::Silent(_));
+                    self.note_failure(&placement, &error);
+                    let is_last = self.arrivals >= self.request.route.max_attempts;
                     let is_over = self.may_have_run && !self.request.route.is_idempotent();
                     if is_last || is_over {
-                        return Err(self.refusal_after(&end));
+                        return Err(self.failure_refusal(&error));
                     }
                 }
             }
@@ -183,28 +185,28 @@
 
     /// Makes an attempt. It is given up when nothing comes for longer than answers take, while the
     /// request can go elsewhere; otherwise it is waited for, since an answer may still come.
-    async fn watched_attempt(
+    async fn attempt_until_silent(
         &self,
         placement: &Placement,
         last_event_id: Option<&str>,
-    ) -> Result<LiveAnswer, AttemptEnd> {
+    ) -> Result<LiveAnswer, AttemptError> {
         let (gateway, request) = (&self.gateway, &self.request);
         let since = gateway.clock().now();
-        let attempt = attempt(gateway, request, placement, last_event_id, &self.held);
-        if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.most_attempts {
+        let attempt = attempt(gateway, request, placement, last_event_id, &self.progress);
+        if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.max_attempts {
             return attempt.await;
         }
         let part = AwaitedPart::Head;
-        let limits = SilenceLimits::new(gateway, request, &placement.engine, part, since);
-        let Some(limits) = limits else {
+        let detector = SilenceDetector::new(gateway, request, &placement.engine, part, since);
+        let Some(detector) = detector else {
             return attempt.await;
         };
         let attempted = tokio::select! {
             biased;
             attempted = attempt => attempted,
-            why = self.until_given_up(&limits) => Err(self.give_up(placement, &limits, part, why)),
+            why = self.until_given_up(&detector) => Err(self.give_up(placement, &detector, part, why)),
         };
-        if attempted.is_ok() && self.held.is_doubted.get() {
+        if attempted.is_ok() && self.progress.is_overdue.get() {
             info!(gateway.log(), "doubted_attempt_answered"; "request" => &request.caller.id,
                 "engine" => %placement.engine,
                 "after_ms" => gateway.clock().now().since(since).as_millis() as u64);
@@ -212,28 +214,28 @@
         attempted
     }
 
-    async fn until_given_up(&self, limits: &SilenceLimits) -> Doubt {
+    async fn until_given_up(&self, detector: &SilenceDetector) -> SilenceCause {
         let clock = self.gateway.clock();
         loop {
-            sleep_until(clock.instant(limits.due(clock.now()))).await;
-            if let Some(why) = self.gives_up(limits) {
+            sleep_until(clock.instant(detector.next_check(clock.now()))).await;
+            if let Some(why) = self.reason_to_give_up(detector) {
                 return why;
             }
         }
     }
 
     /// Why a silent attempt is given up now, and its successor is paid for.
-    pub(super) fn gives_up(&self, limits: &SilenceLimits) -> Option<Doubt> {
-        let why = limits.verdict(&self.gateway, self.held.used.get())?;
+    pub(super) fn reason_to_give_up(&self, detector: &SilenceDetector) -> Option<SilenceCause> {
+        let why = detector.detect(&self.gateway, self.progress.connection_use.get())?;
         let has_successor =
-            self.has_other_engine(&limits.engine) || limits.answers_later(&self.gateway);
+            self.has_other_engine(&detector.engine) || detector.has_later_answers(&self.gateway);
         if has_successor && self.gateway.spend_spare_retry(&self.request.pool) {
             return Some(why);
         }
-        if !self.held.is_doubted.replace(true) {
+        if !self.progress.is_overdue.replace(true) {
             info!(self.gateway.log(), "silent_attempt_kept"; "request" => &self.request.caller.id,
                 "why" => %why, "has_successor" => has_successor,
-                "silent_ms" => self.gateway.clock().now().since(limits.since).as_millis() as u64);
+                "silent_ms" => self.gateway.clock().now().since(detector.since).as_millis() as u64);
         }
         None
     }
@@ -242,24 +244,24 @@
     pub(super) fn give_up(
         &self,
         placement: &Placement,
-        limits: &SilenceLimits,
+        detector: &SilenceDetector,
         part: AwaitedPart,
-        why: Doubt,
-    ) -> AttemptEnd {
+        why: SilenceCause,
+    ) -> AttemptError {
         let gateway = &self.gateway;
-        let silent = gateway.clock().now().since(limits.since);
+        let silent = gateway.clock().now().since(detector.since);
         gateway
             .upstream()
-            .note_silent(&placement.engine, limits.since);
+            .note_silent(&placement.engine, detector.since);
         let (pool, route) = (&self.request.pool, &self.request.route.name);
         // It takes at least so long; when all become slow, this raises the limit.
         let times = &mut gateway.state_mut().part_times;
         times.note(pool, route, part, silent);
         warn!(gateway.log(), "attempt_given_up"; "request" => &self.request.caller.id,
             "engine" => %placement.engine, "why" => %why, "awaited" => ?part,
-            "connection" => self.held.used.get().map(|used| used.to_string()),
+            "connection" => self.progress.connection_use.get().map(|used| used.to_string()),
             "silent_ms" => silent.as_millis() as u64);
-        AttemptEnd::Silent(why)
+        AttemptError::Silent(why)
     }
 
     fn has_other_engine(&self, than: &BackEndName) -> bool {
@@ -272,60 +274,63 @@
         let mut engines = state.engines.of_pool(pool);
         engines.any(|engine| {
             let is_tried = tried.contains(&engine.entry.name);
-            let is_able = engine.takes_work(now) && engine.health.is_serving();
-            !is_tried && is_able && admission.admits(&engine.entry)
+            let can_serve = engine.takes_work(now) && engine.health.is_serving();
+            !is_tried && can_serve && admission.admits(&engine.entry)
         })
     }
 
     /// Whether a request that may have run may be sent to another back end.
-    pub(super) fn may_run_again(&self) -> bool {
+    pub(super) fn may_retry(&self) -> bool {
         let route = &self.request.route;
-        route.is_idempotent() && self.arrivals < route.most_attempts
+        route.is_idempotent() && self.arrivals < route.max_attempts
     }
 
     /// The answer when the time has run out.
-    pub(super) fn out_of_time(&self) -> Refusal {
+    pub(super) fn deadline_refusal(&self) -> Refusal {
         // An attempt that was cut short may have written the request once it had a connection, and an
         // engine that answered its head may go on.
-        let may_run = self.held.may_have_run() || self.has_answer;
+        let may_run = self.progress.may_have_run() || self.has_answer_begun;
         match may_run {
             false => Refusal::new(RefusalReason::DeadlineNotRun, "no engine in time")
-                .come_back_after(NO_ENGINE_RETRY),
+                .with_retry_after(NO_ENGINE_RETRY),
             true => Refusal::new(RefusalReason::DeadlineMayHaveRun, "no answer in time"),
         }
     }
 
     /// An attempt ended badly.
-    pub(super) fn note_end(&mut self, placement: &Placement, end: &AttemptEnd) {
+    pub(super) fn note_failure(&mut self, placement: &Placement, error: &AttemptError) {
         // One that was given up before it had a connection has written nothing.
-        let had_connection = self.held.used.get().is_some();
-        self.may_have_run |= had_connection && end.may_have_run();
-        if matches!(end, AttemptEnd::Broken(_)) {
-            let run = Run::new(&self.request, placement, self.attempted_at);
+        let had_connection = self.progress.connection_use.get().is_some();
+        self.may_have_run |= had_connection && error.may_have_run();
+        if matches!(error, AttemptError::Broken(_)) {
+            let run = Run::new(&self.request, placement, self.attempt_started_at);
             self.gateway.note_broken_run(&run);
         }
-        self.held.is_at(HeldAt::after(end, self.held.used.get()));
-        let is_silent = matches!(end, AttemptEnd::Silent(_));
+        self.progress.set_phase(RequestPhase::after(
+            error,
+            self.progress.connection_use.get(),
+        ));
+        let is_silent = matches!(error, AttemptError::Silent(_));
         self.silent_engine = is_silent.then(|| placement.engine.clone());
-        self.held.may_have_run.set(self.may_have_run);
+        self.progress.may_have_run.set(self.may_have_run);
         let left = self
             .request
             .route
-            .most_attempts
+            .max_attempts
             .saturating_sub(self.arrivals);
-        self.held.attempts_left.set(left);
+        self.progress.attempts_left.set(left);
         let prompt = self.request.caller.prompt.as_ref();
         let model = prompt.map(|prompt| prompt.model.as_str());
-        learn(&self.gateway, model, placement, end);
-        let digest = end
+        apply_attempt_error(&self.gateway, model, placement, error);
+        let digest = error
             .may_have_run()
             .then(|| self.request.digest().to_string());
         warn!(self.gateway.log(), "attempt_failed"; "request" => &self.request.caller.id,
             "digest" => digest,
             "engine" => %placement.engine, "address" => %placement.address,
-            "end" => %end, "weights" => placement.weights, "cost" => %placement.cost,
+            "end" => %error, "weights" => placement.weights, "cost" => %placement.cost,
             "configuration" => self.request.configuration_version, "arrivals" => self.arrivals,
-            "list" => %self.held.list.get());
+            "list" => %self.progress.engine_list.get());
     }
 
     /// An attempt ended well.
@@ -346,13 +351,13 @@
     fn place(&self, verdict: Verdict) -> Option<Placement> {
         let elsewhere = match verdict {
             Verdict::Trial => self.place_trial(),
-            _ => self.place_outside(&self.tried),
+            _ => self.place_avoiding(&self.tried),
         };
         elsewhere.or_else(|| {
             let silent = self.silent_engine.as_ref()?;
             let is_other = |engine: &&BackEndName| *engine != silent;
             let others: Vec<_> = self.tried.iter().filter(is_other).cloned().collect();
-            self.place_outside(&others)
+            self.place_avoiding(&others)
         })
     }
 
@@ -360,10 +365,10 @@
     fn place_trial(&self) -> Option<Placement> {
         let mut avoided = self.gateway.ended_engines(&self.request.pool);
         avoided.extend(self.tried.iter().cloned());
-        self.place_outside(&avoided)
+        self.place_avoiding(&avoided)
     }
 
-    fn place_outside(&self, tried: &[BackEndName]) -> Option<Placement> {
+    fn place_avoiding(&self, tried: &[BackEndName]) -> Option<Placement> {
         let request = &self.request;
         let isolated = request.tenant.as_ref().filter(|tenant| tenant.is_isolated);
         self.gateway.choose(&PlacementRequest {
@@ -377,7 +382,7 @@
         })
     }
 
-    fn no_engine(&self) -> Refusal {
+    fn no_engine_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, "no other engine");
         }
@@ -386,36 +391,37 @@
             Some(barred) => format!("pool '{pool}': no engine takes work ({barred})"),
             None => format!("pool '{pool}': no engine takes work"),
         };
-        Refusal::new(RefusalReason::NoEngine, detail).come_back_after(self.wait(NO_ENGINE_RETRY))
+        Refusal::new(RefusalReason::NoEngine, detail)
+            .with_retry_after(self.retry_after(NO_ENGINE_RETRY))
     }
 
     /// It is not sent on, so that callers learn that at once, and when another try may be of use.
-    fn ends_engines(&self, come_back_after: Duration) -> Refusal {
+    fn poison_refusal(&self, retry_after: Duration) -> Refusal {
         let detail = "engines have ended under it";
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, detail);
         }
-        Refusal::new(RefusalReason::EndsEngines, detail).come_back_after(come_back_after)
+        Refusal::new(RefusalReason::CrashesEngines, detail).with_retry_after(retry_after)
     }
 
     /// When to come back: once an engine may be sent something again, where all of them say when.
-    fn wait(&self, otherwise: Duration) -> Duration {
+    fn retry_after(&self, otherwise: Duration) -> Duration {
         let opening = self.gateway.next_opening(&self.request.pool);
         opening.map_or(otherwise, |opening| opening.max(otherwise))
     }
 
-    fn without_budget(&self) -> Refusal {
+    fn budget_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, "retry budget spent");
         }
-        Refusal::new(RefusalReason::NotRun, "retry budget spent").come_back_after(NO_ROOM_RETRY)
+        Refusal::new(RefusalReason::NotRun, "retry budget spent").with_retry_after(NO_ROOM_RETRY)
     }
 
-    fn refusal_after(&self, end: &AttemptEnd) -> Refusal {
+    fn failure_refusal(&self, error: &AttemptError) -> Refusal {
         if self.may_have_run {
-            return Refusal::new(RefusalReason::MayHaveRun, end.to_string());
+            return Refusal::new(RefusalReason::MayHaveRun, error.to_string());
         }
-        Refusal::new(RefusalReason::NotRun, end.to_string())
-            .come_back_after(self.wait(NO_ROOM_RETRY))
+        Refusal::new(RefusalReason::NotRun, error.to_string())
+            .with_retry_after(self.retry_after(NO_ROOM_RETRY))
     }
 }
--- a/crates/gateway/src/serve/held_at.rs
+++ b/crates/gateway/src/serve/request_phase.rs
@@ -2,12 +2,12 @@
 
 use derive_more::Display;
 
-use super::attempt_end::AttemptEnd;
+use super::attempt_error::AttemptError;
 use crate::upstream::ConnectionUse;
 
 /// Where a request was held last; see docs/design/accounting.md.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display)]
-pub(super) enum HeldAt {
+pub(super) enum RequestPhase {
     /// In this node: its body was read, its engine chosen.
     #[default]
     #[display("own_node")]
@@ -35,10 +35,10 @@
     NoRoom,
 }
 
-impl HeldAt {
+impl RequestPhase {
     /// While an attempt waits for its answer.
-    pub(super) fn waiting(used: Option<ConnectionUse>) -> Self {
-        match used {
+    pub(super) fn waiting(connection_use: Option<ConnectionUse>) -> Self {
+        match connection_use {
             None => Self::Connecting,
             Some(ConnectionUse::Kept) => Self::SilentKept,
             Some(ConnectionUse::New) => Self::SilentNew,
@@ -46,14 +46,14 @@
     }
 
     /// After an attempt that ended without a usable answer.
-    pub(super) fn after(end: &AttemptEnd, used: Option<ConnectionUse>) -> Self {
-        match end {
-            AttemptEnd::Silent(_) => Self::waiting(used),
-            AttemptEnd::NotConnected(_) | AttemptEnd::Broken(_) | AttemptEnd::MayHaveRun(_) => {
-                Self::EngineGone
-            }
-            AttemptEnd::EngineError(_) => Self::EngineFailed,
-            AttemptEnd::NoRoom(_) | AttemptEnd::Misdirected(_) => Self::NoRoom,
+    pub(super) fn after(error: &AttemptError, connection_use: Option<ConnectionUse>) -> Self {
+        match error {
+            AttemptError::Silent(_) => Self::waiting(connection_use),
+            AttemptError::NotConnected(_)
+            | AttemptError::Broken(_)
+            | AttemptError::MayHaveRun(_) => Self::EngineGone,
+            AttemptError::EngineError(_) => Self::EngineFailed,
+            AttemptError::NoRoom(_) | AttemptError::Misdirected(_) => Self::NoRoom,
         }
     }
 }
--- a/crates/gateway/src/serve/respond.rs
+++ b/crates/gateway/src/serve/respond.rs
@@ -9,12 +9,12 @@
 use hyper::{Request, Response, StatusCode};
 use slog::{info, warn};
 
+use super::accept::accept;
 use super::active_request::ActiveRequest;
 use super::answer_body::AnswerBody;
-use super::exchange::{Exchange, FirstAnswer};
-use super::held_at::HeldAt;
-use super::intake::accept;
-use super::live_answer::WholeAnswer;
+use super::live_answer::CompleteAnswer;
+use super::request_forwarder::{FirstAnswer, RequestForwarder};
+use super::request_phase::RequestPhase;
 use super::stream_relay::StreamRelay;
 use crate::gateway::Gateway;
 use crate::request::{CallerRequest, Refusal, RefusalReason};
@@ -48,23 +48,24 @@
         Ok(accepted) => accepted,
         Err(refusal) => return end_refused(&gateway, &active, &id, &refusal),
     };
-    active.held.accepted(&accepted);
+    active.progress.note_accepted(&accepted);
     gateway.count_request(&accepted.pool);
     if let Err(refusal) = gateway.admit(&accepted) {
         return end_refused(&gateway, &active, &id, &refusal);
     }
     let deadline = accepted.deadline;
-    let mut exchange = Exchange::new(Rc::clone(&gateway), accepted, Rc::clone(&active.held));
+    let mut forwarder =
+        RequestForwarder::new(Rc::clone(&gateway), accepted, Rc::clone(&active.progress));
     let first = gateway
         .clock()
-        .until(deadline, exchange.first_answer())
+        .until(deadline, forwarder.first_answer())
         .await;
-    match first.unwrap_or_else(|| Err(exchange.out_of_time())) {
-        Ok(FirstAnswer::Whole(whole)) => end_whole(&exchange, &active, *whole),
-        Ok(FirstAnswer::Stream(live)) => StreamRelay::new(exchange, *live, active).into_response(),
+    match first.unwrap_or_else(|| Err(forwarder.deadline_refusal())) {
+        Ok(FirstAnswer::Whole(whole)) => end_whole(&forwarder, &active, *whole),
+        Ok(FirstAnswer::Stream(live)) => StreamRelay::new(forwarder, *live, active).into_response(),
         Err(refusal) => {
             if refusal.is_not_run() {
-                gateway.refund(&exchange.request);
+                gateway.refund(&forwarder.request);
             }
             end_refused(&gateway, &active, &id, &refusal)
         }
@@ -72,21 +73,21 @@
 }
 
 fn end_whole(
-    exchange: &Exchange,
+    forwarder: &RequestForwarder,
     active: &ActiveRequest,
-    whole: WholeAnswer,
+    whole: CompleteAnswer,
 ) -> Response<AnswerBody> {
-    let gateway = &exchange.gateway;
+    let gateway = &forwarder.gateway;
     end_answered(active, whole.status);
     let seconds = active.elapsed_ms() as f64 / 1e3;
     gateway.metrics().first_answer_seconds.observe(seconds);
     if let Some(left_out) = gateway.sampler().admit(gateway.clock().now()) {
-        let request = &exchange.request;
+        let request = &forwarder.request;
         info!(gateway.log(), "request_answered"; "request" => &request.caller.id,
             "route" => &request.route.name, "engine" => %whole.placement.engine,
-            "status" => whole.status.as_u16(), "arrivals" => exchange.arrivals,
+            "status" => whole.status.as_u16(), "arrivals" => forwarder.arrivals,
             "cost" => %whole.placement.cost, "configuration" => request.configuration_version,
-            "list" => %exchange.held.list.get(),
+            "list" => %forwarder.progress.engine_list.get(),
             "after_ms" => active.elapsed_ms(), "left_out" => left_out);
     }
     let mut response = Response::new(AnswerBody::whole(whole.bytes));
@@ -99,7 +100,7 @@
     match status.is_server_error() {
         false => active.end("answered"),
         true => {
-            active.held.is_at(HeldAt::EngineFailed);
+            active.progress.set_phase(RequestPhase::EngineFailed);
             active.end_unserved("engine_error");
         }
     }
@@ -112,8 +113,8 @@
     refusal: &Refusal,
 ) -> Response<AnswerBody> {
     let reason = refusal.reason.to_string();
-    let is_proper = !refusal.status().is_client_error();
-    match is_proper {
+    let is_unserved = !refusal.status().is_client_error();
+    match is_unserved {
         true => active.end_unserved(&reason),
         // The caller's fault, or its limit: no engine was to be asked.
         false => active.end(&reason),
--- a/crates/gateway/src/serve/silence_limits.rs
+++ b/crates/gateway/src/serve/silence_detector.rs
@@ -6,27 +6,27 @@
 use ryerouter_core::identity::BackEndName;
 
 use super::accepted_request::AcceptedRequest;
-use super::doubt::Doubt;
+use super::silence_cause::SilenceCause;
 use crate::engines::AwaitedPart;
 use crate::gateway::Gateway;
 use crate::upstream::ConnectionUse;
 
 /// How often it is asked again whether a silence that is long enough has become certain: news of the
 /// engine come with any answer, so this adds to the wait, and wakes only requests that are late.
-const ASKED_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long silence on a connection is believed to be work of its engine, as known when it began;
 /// see docs/design/accounting.md.
 #[derive(Debug, Clone)]
-pub(super) struct SilenceLimits {
+pub(super) struct SilenceDetector {
     pub(super) engine: BackEndName,
     /// When the silence began.
     pub(super) since: Timestamp,
-    while_others_are_answered: Duration,
-    without_news: Duration,
+    limit_with_later_answers: Duration,
+    limit_without_answers: Duration,
 }
 
-impl SilenceLimits {
+impl SilenceDetector {
     /// `None` before enough answers were seen.
     pub(super) fn new(
         gateway: &Gateway,
@@ -41,34 +41,39 @@
         Some(Self {
             engine: engine.clone(),
             since,
-            while_others_are_answered: estimate.longest_while_others_are_answered(),
-            without_news: estimate.longest_without_news(),
+            limit_with_later_answers: estimate.longest_while_others_are_answered(),
+            limit_without_answers: estimate.longest_without_news(),
         })
     }
 
     /// When to ask first, or next.
-    pub(super) fn due(&self, now: Timestamp) -> Timestamp {
-        let first = self.since.after(self.while_others_are_answered);
-        first.max(now.after(ASKED_EVERY))
+    pub(super) fn next_check(&self, now: Timestamp) -> Timestamp {
+        let first = self.since.after(self.limit_with_later_answers);
+        first.max(now.after(CHECK_INTERVAL))
     }
 
     /// What is doubted, when the connection is no longer believed to carry an answer, if so.
     ///
     /// An engine that answers what was sent later is not stuck. Without such news only a kept
     /// connection is doubted, since nothing has proved it since it was idle.
-    pub(super) fn verdict(&self, gateway: &Gateway, used: Option<ConnectionUse>) -> Option<Doubt> {
+    pub(super) fn detect(
+        &self,
+        gateway: &Gateway,
+        connection_use: Option<ConnectionUse>,
+    ) -> Option<SilenceCause> {
         let now = gateway.clock().now();
         let silent = now.since(self.since);
-        let answers_later = self.answers_later(gateway);
-        if answers_later && silent >= self.while_others_are_answered {
-            return Some(Doubt::Connection);
+        let has_later_answers = self.has_later_answers(gateway);
+        if has_later_answers && silent >= self.limit_with_later_answers {
+            return Some(SilenceCause::Connection);
         }
-        let is_doubted = used == Some(ConnectionUse::Kept) && silent >= self.without_news;
-        is_doubted.then_some(Doubt::Engine)
+        let is_overdue =
+            connection_use == Some(ConnectionUse::Kept) && silent >= self.limit_without_answers;
+        is_overdue.then_some(SilenceCause::Engine)
     }
 
     /// Whether the engine has answered a request that was sent after this silence began.
-    pub(super) fn answers_later(&self, gateway: &Gateway) -> bool {
+    pub(super) fn has_later_answers(&self, gateway: &Gateway) -> bool {
         let state = gateway.state();
         let engine = state.engines.get(&self.engine);
         engine.is_some_and(|engine| engine.has_answered_what_was_sent_after(self.since))
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -15,12 +15,12 @@
 use super::active_request::ActiveRequest;
 use super::answer_body::AnswerBody;
 use super::answer_reporter::AnswerReporter;
-use super::attempt_end::AttemptEnd;
-use super::doubt::Doubt;
-use super::exchange::Exchange;
-use super::held_at::HeldAt;
+use super::attempt_error::AttemptError;
 use super::live_answer::LiveAnswer;
-use super::silence_limits::SilenceLimits;
+use super::request_forwarder::RequestForwarder;
+use super::request_phase::RequestPhase;
+use super::silence_cause::SilenceCause;
+use super::silence_detector::SilenceDetector;
 use crate::engines::AwaitedPart;
 use crate::placement::Placement;
 use crate::relay::{EventSplitter, RelayFault, StreamEnd};
@@ -29,17 +29,17 @@
 
 /// Passes a stream on, whole event by whole event, and goes on at another engine where it may.
 pub(super) struct StreamRelay {
-    exchange: Exchange,
+    forwarder: RequestForwarder,
     /// `None` after the end.
     live: Option<LiveAnswer>,
     splitter: EventSplitter,
     last_event_id: Option<String>,
     has_begun: bool,
-    resumed: u32,
+    resume_count: u32,
     /// From the arrival of the request to the first event.
     first_event_ms: Option<u64>,
     /// How long silence is believed now; `None` before enough was seen.
-    limits: Option<SilenceLimits>,
+    detector: Option<SilenceDetector>,
     awaited: AwaitedPart,
     awaited_since: Timestamp,
     /// From the last attempt's begin to the head of its answer.
@@ -57,22 +57,26 @@
     End,
     Broken(String),
     /// Nothing for longer than is usual.
-    Silent(Doubt),
+    Silent(SilenceCause),
 }
 
 impl StreamRelay {
-    pub(super) fn new(exchange: Exchange, live: LiveAnswer, active: ActiveRequest) -> Self {
+    pub(super) fn new(
+        forwarder: RequestForwarder,
+        live: LiveAnswer,
+        active: ActiveRequest,
+    ) -> Self {
         Self {
-            limits: None,
+            detector: None,
             awaited: AwaitedPart::FirstEvent,
             awaited_since: Timestamp::ZERO,
-            head_ms: live.head_after.as_millis() as u64,
-            last_event_id: exchange.request.caller.last_event_id.clone(),
-            exchange,
+            head_ms: live.time_to_head.as_millis() as u64,
+            last_event_id: forwarder.request.caller.last_event_id.clone(),
+            forwarder,
             live: Some(live),
             splitter: EventSplitter::default(),
             has_begun: false,
-            resumed: 0,
+            resume_count: 0,
             first_event_ms: None,
             last_event_ms: 0,
             longest_pause_ms: 0,
@@ -98,8 +102,8 @@
     /// The next events; `None` after the last; an error breaks the caller's connection off.
     async fn next(&mut self) -> Option<Result<Bytes, RelayFault>> {
         self.live.as_ref()?;
-        let clock = self.exchange.gateway.clock();
-        let deadline = self.exchange.request.deadline;
+        let clock = self.forwarder.gateway.clock();
+        let deadline = self.forwarder.request.deadline;
         match clock.until(deadline, self.next_events()).await {
             Some(Ok(Some(bytes))) => Some(Ok(bytes)),
             Some(Ok(None)) => {
@@ -116,62 +120,65 @@
 
     async fn next_events(&mut self) -> Result<Option<Bytes>, RelayFault> {
         loop {
-            match self.receive_watched().await {
+            match self.receive_timed().await {
                 Received::Bytes(bytes) => {
                     if let Some(batch) = self.splitter.push(&bytes)? {
-                        self.watch(|watched| watched.note_events(&batch.bytes));
-                        self.note_begun();
+                        self.report(|reporter| reporter.note_events(&batch.bytes));
+                        self.note_events();
                         self.last_event_id = batch.last_id.or(self.last_event_id.take());
                         return Ok(Some(batch.bytes));
                     }
                 }
-                Received::End if self.splitter.held_bytes() == 0 => return Ok(None),
+                Received::End if self.splitter.buffered_bytes() == 0 => return Ok(None),
                 Received::End => {
                     let detail = "ended within an event".to_owned();
-                    self.resume(AttemptEnd::Broken(detail)).await?;
+                    self.resume(AttemptError::Broken(detail)).await?;
                 }
-                Received::Broken(detail) => self.resume(AttemptEnd::Broken(detail)).await?,
+                Received::Broken(detail) => self.resume(AttemptError::Broken(detail)).await?,
                 Received::Silent(why) => {
-                    let end = self.give_up(why);
-                    self.resume(end).await?;
+                    let error = self.give_up(why);
+                    self.resume(error).await?;
                 }
             }
         }
     }
 
     /// What comes next, and how long it was waited for.
-    async fn receive_watched(&mut self) -> Received {
-        self.watch(AnswerReporter::begin_wait);
+    async fn receive_timed(&mut self) -> Received {
+        self.report(AnswerReporter::begin_wait);
         let received = self.receive().await;
-        self.watch(AnswerReporter::end_wait);
+        self.report(AnswerReporter::end_wait);
         received
     }
 
-    fn watch(&mut self, note: impl FnOnce(&mut AnswerReporter)) {
+    fn report(&mut self, note: impl FnOnce(&mut AnswerReporter)) {
         if let Some(live) = &mut self.live {
-            note(&mut live.watched);
+            note(&mut live.reporter);
         }
     }
 
     /// What comes next. A stream that may go on elsewhere is given up when nothing comes for longer
     /// than is usual while its engine answers what was sent later.
     async fn receive(&mut self) -> Received {
-        let clock = self.exchange.gateway.clock();
-        if let Some(limits) = &mut self.limits {
+        let clock = self.forwarder.gateway.clock();
+        if let Some(detector) = &mut self.detector {
             // A caller that took its time is not the engine's silence.
-            limits.since = clock.now();
+            detector.since = clock.now();
         }
         loop {
-            let limits = self.limits.as_ref();
-            let due = limits.filter(|_| self.exchange.may_run_again());
-            let Some(due) = due.map(|limits| clock.instant(limits.due(clock.now()))) else {
+            let detector = self.detector.as_ref();
+            let due = detector.filter(|_| self.forwarder.may_retry());
+            let Some(due) = due.map(|detector| clock.instant(detector.next_check(clock.now())))
+            else {
                 return self.receive_frame().await;
             };
             if let Ok(received) = timeout_at(due, self.receive_frame()).await {
                 return received;
             }
-            let limits = self.limits.as_ref();
-            if let Some(why) = limits.and_then(|limits| self.exchange.gives_up(limits)) {
+            let detector = self.detector.as_ref();
+            if let Some(why) =
+                detector.and_then(|detector| self.forwarder.reason_to_give_up(detector))
+            {
                 return Received::Silent(why);
             }
         }
@@ -181,21 +188,26 @@
     fn await_part(&mut self, part: AwaitedPart) {
         self.awaited = part;
         // Its connection has carried an answer, so that only the engine's news cast doubt on it.
-        self.exchange.held.used.set(Some(ConnectionUse::New));
-        let exchange = &self.exchange;
-        let now = exchange.gateway.clock().now();
+        self.forwarder
+            .progress
+            .connection_use
+            .set(Some(ConnectionUse::New));
+        let forwarder = &self.forwarder;
+        let now = forwarder.gateway.clock().now();
         self.awaited_since = now;
         let engine = self.live.as_ref().map(|live| &live.placement.engine);
-        self.limits = engine.and_then(|engine| {
-            SilenceLimits::new(&exchange.gateway, &exchange.request, engine, part, now)
+        self.detector = engine.and_then(|engine| {
+            SilenceDetector::new(&forwarder.gateway, &forwarder.request, engine, part, now)
         });
     }
 
-    fn give_up(&self, why: Doubt) -> AttemptEnd {
+    fn give_up(&self, why: SilenceCause) -> AttemptError {
         let part = self.awaited;
-        match (&self.live, &self.limits) {
-            (Some(live), Some(limits)) => self.exchange.give_up(&live.placement, limits, part, why),
-            _ => AttemptEnd::Silent(why),
+        match (&self.live, &self.detector) {
+            (Some(live), Some(detector)) => {
+                self.forwarder.give_up(&live.placement, detector, part, why)
+            }
+            _ => AttemptError::Silent(why),
         }
     }
 
@@ -208,7 +220,7 @@
                 None => return Received::End,
                 Some(Err(error)) => return Received::Broken(error.to_string()),
                 Some(Ok(frame)) => {
-                    live.note_heard(&self.exchange.gateway);
+                    live.note_heard(&self.forwarder.gateway);
                     if let Ok(bytes) = frame.into_data() {
                         return Received::Bytes(bytes);
                     }
@@ -218,35 +230,35 @@
     }
 
     /// Goes on at another engine after the last event that the caller has.
-    async fn resume(&mut self, end: AttemptEnd) -> Result<(), RelayFault> {
+    async fn resume(&mut self, error: AttemptError) -> Result<(), RelayFault> {
         let fault = RelayFault {
-            detail: end.to_string(),
+            detail: error.to_string(),
         };
-        self.limits = None;
-        self.watch(|watched| watched.end(end.of_answer()));
+        self.detector = None;
+        self.report(|reporter| reporter.end(error.answer_end()));
         // The former run ends, with its connection, before another begins.
         let former = self.live.take().map(|live| live.placement);
         if let Some(placement) = former {
-            self.exchange.note_end(&placement, &end);
+            self.forwarder.note_failure(&placement, &error);
         }
-        if !self.exchange.may_run_again() {
+        if !self.forwarder.may_retry() {
             return Err(fault);
         }
         self.splitter = EventSplitter::default();
         let last_event_id = self.last_event_id.clone();
-        let next = self.exchange.next_answer(last_event_id.as_deref()).await;
+        let next = self.forwarder.next_answer(last_event_id.as_deref()).await;
         match next {
             Ok(live) if live.status.is_success() => {
-                self.resumed += 1;
-                info!(self.exchange.gateway.log(), "stream_resumed";
-                    "request" => &self.exchange.request.caller.id,
+                self.resume_count += 1;
+                info!(self.forwarder.gateway.log(), "stream_resumed";
+                    "request" => &self.forwarder.request.caller.id,
                     "engine" => %live.placement.engine, "after_event" => last_event_id);
                 self.live = Some(live);
                 self.await_part(AwaitedPart::FirstEvent);
                 Ok(())
             }
             Ok(mut live) => {
-                live.watched.end(match live.status.is_server_error() {
+                live.reporter.end(match live.status.is_server_error() {
                     true => AnswerEnd::Failed,
                     false => AnswerEnd::Whole { is_success: false },
                 });
@@ -265,31 +277,31 @@
         if self.awaited != AwaitedPart::FirstEvent {
             return;
         }
-        let gateway = &self.exchange.gateway;
+        let gateway = &self.forwarder.gateway;
         let took = gateway.clock().now().since(self.awaited_since);
         self.note_time(AwaitedPart::FirstEvent, took);
         self.await_part(AwaitedPart::Pause);
     }
 
     fn note_time(&self, part: AwaitedPart, took: Duration) {
-        let Exchange {
+        let RequestForwarder {
             gateway, request, ..
-        } = &self.exchange;
+        } = &self.forwarder;
         let times = &mut gateway.state_mut().part_times;
         times.note(&request.pool, &request.route.name, part, took);
     }
 
-    fn note_begun(&mut self) {
+    fn note_events(&mut self) {
         self.note_first_event();
-        if self.exchange.held.is_doubted.replace(false) {
-            info!(self.exchange.gateway.log(), "doubted_attempt_answered";
-                "request" => &self.exchange.request.caller.id, "events" => true);
+        if self.forwarder.progress.is_overdue.replace(false) {
+            info!(self.forwarder.gateway.log(), "doubted_attempt_answered";
+                "request" => &self.forwarder.request.caller.id, "events" => true);
         }
         let Some(live) = &mut self.live else {
             return;
         };
         live.in_flight.prompt_read();
-        self.exchange.held.is_at(HeldAt::Stream);
+        self.forwarder.progress.set_phase(RequestPhase::Stream);
         let elapsed_ms = self.active.elapsed_ms();
         if self.has_begun {
             let pause_ms = elapsed_ms - self.last_event_ms;
@@ -299,35 +311,35 @@
         if !self.has_begun {
             self.has_begun = true;
             self.first_event_ms = Some(self.active.elapsed_ms());
-            let gateway = &self.exchange.gateway;
+            let gateway = &self.forwarder.gateway;
             let seconds = self.active.elapsed_ms() as f64 / 1e3;
             gateway.metrics().first_answer_seconds.observe(seconds);
-            let pool = &self.exchange.request.pool;
+            let pool = &self.forwarder.request.pool;
             gateway.note_begin(pool, Duration::from_millis(elapsed_ms));
             gateway.note_prompt_read(&live.placement);
-            count_tokens(&self.exchange, &live.placement);
+            count_tokens(&self.forwarder, &live.placement);
         }
     }
 
     fn complete(&mut self) {
         let whole = AnswerEnd::Whole { is_success: true };
-        self.watch(|watched| watched.end(whole));
+        self.report(|reporter| reporter.end(whole));
         let Some(live) = self.live.take() else {
             return;
         };
-        let gateway = Rc::clone(&self.exchange.gateway);
+        let gateway = Rc::clone(&self.forwarder.gateway);
         let placement = live.release(&gateway);
-        self.exchange.note_success(&placement);
-        gateway.note_good_run(&self.exchange.request);
+        self.forwarder.note_success(&placement);
+        gateway.note_good_run(&self.forwarder.request);
         self.active.end("answered");
-        if self.resumed == 0 {
+        if self.resume_count == 0 {
             let pause = Duration::from_millis(self.longest_pause_ms);
             self.note_time(AwaitedPart::Pause, pause);
         }
         let Some(left_out) = gateway.sampler().admit(gateway.clock().now()) else {
             return;
         };
-        let request = &self.exchange.request;
+        let request = &self.forwarder.request;
         let fetch = placement.fetch.as_ref();
         info!(gateway.log(), "stream_answered"; "request" => &request.caller.id,
             "route" => &request.route.name, "engine" => %placement.engine,
@@ -339,29 +351,29 @@
             "expected_tokens" => request.caller.prompt.as_ref().and_then(|prompt| prompt.expected_tokens),
             "head_ms" => self.head_ms, "first_event_ms" => self.first_event_ms,
             "longest_pause_ms" => self.longest_pause_ms, "cost" => %placement.cost,
-            "arrivals" => self.exchange.arrivals, "resumed" => self.resumed,
+            "arrivals" => self.forwarder.arrivals, "resumed" => self.resume_count,
             "configuration" => request.configuration_version,
-            "list" => %self.exchange.held.list.get(),
+            "list" => %self.forwarder.progress.engine_list.get(),
             "after_ms" => self.active.elapsed_ms(), "left_out" => left_out);
     }
 
     fn fail(&mut self, end: StreamEnd, fault: RelayFault) -> RelayFault {
         if end == StreamEnd::Broken {
-            self.watch(|watched| watched.end(AnswerEnd::Failed));
+            self.report(|reporter| reporter.end(AnswerEnd::Failed));
         }
         self.live = None;
         self.active.end_unserved(&format!("stream_{end}"));
-        warn!(self.exchange.gateway.log(), "stream_failed";
-            "request" => &self.exchange.request.caller.id, "end" => %end,
-            "detail" => &fault.detail, "arrivals" => self.exchange.arrivals,
-            "resumed" => self.resumed, "last_event" => self.last_event_id.clone(),
+        warn!(self.forwarder.gateway.log(), "stream_failed";
+            "request" => &self.forwarder.request.caller.id, "end" => %end,
+            "detail" => &fault.detail, "arrivals" => self.forwarder.arrivals,
+            "resumed" => self.resume_count, "last_event" => self.last_event_id.clone(),
             "after_ms" => self.active.elapsed_ms());
         fault
     }
 }
 
-fn count_tokens(exchange: &Exchange, placement: &Placement) {
-    let tokens = &exchange.gateway.metrics().prompt_tokens;
+fn count_tokens(forwarder: &RequestForwarder, placement: &Placement) {
+    let tokens = &forwarder.gateway.metrics().prompt_tokens;
     let fetched = placement.fetch.as_ref().map_or(0, |fetch| fetch.tokens);
     let by_source = [
         ("cached", placement.cached_tokens),
--- a/crates/gateway/tests/poison_news.rs
+++ b/crates/gateway/tests/poison_news.rs
@@ -9,7 +9,7 @@
 use ryerouter_core::poison::{Digest, Verdict};
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::peers::Datagram;
-use ryerouter_gateway::poison::{CrashNews, PoisonNews};
+use ryerouter_gateway::poison::{CrashUpdate, PoisonUpdate};
 use serde_json::Value;
 use support::fleet::{deliver, introduce, node, node_in, zone_of_many};
 use support::gateway_bench::run_paused;
@@ -22,15 +22,15 @@
 const UNTIL_GONE: Duration = Duration::from_secs(8);
 
 /// Three ends in a row, the last of them just now.
-fn three_ends(of: [&str; 3]) -> PoisonNews {
-    let end = |(index, engine): (usize, &str)| CrashNews {
+fn three_ends(of: [&str; 3]) -> PoisonUpdate {
+    let end = |(index, engine): (usize, &str)| CrashUpdate {
         engine: BackEndName::new(engine),
         incarnation: None,
         age_ms: 2_000 - index as u64 * 1_000,
         took_ms: 100,
         is_unproven: false,
     };
-    PoisonNews {
+    PoisonUpdate {
         digest: DIGEST,
         crashes: of.into_iter().enumerate().map(end).collect(),
         cleared_age_ms: None,
@@ -40,7 +40,7 @@
     }
 }
 
-fn tell(to: &Gateway, from: &Gateway, news: Vec<PoisonNews>) {
+fn tell(to: &Gateway, from: &Gateway, news: Vec<PoisonUpdate>) {
     let mut message = from.peer_message(false);
     message.poison = news;
     to.hear_peer(message);
@@ -107,7 +107,7 @@
     run_paused(async {
         let nodes: Vec<_> = (0..2).map(node).collect();
         for number in 0..100 {
-            let news = PoisonNews {
+            let news = PoisonUpdate {
                 digest: Digest(number),
                 ..three_ends(["a", "b", "c"])
             };
@@ -138,7 +138,7 @@
             .collect();
         introduce(&nodes);
         tell(&nodes[3], &nodes[4], vec![three_ends(["a", "b", "c"])]);
-        nodes[3].state_mut().poison_news.insert(DIGEST, 1);
+        nodes[3].state_mut().poison_updates.insert(DIGEST, 1);
         let parcels = nodes[3].next_load_news();
         let first: usize = parcels.iter().map(|parcel| parcel.1.len()).sum();
         let passed_on: usize = deliver(&nodes, parcels).iter().sum();
@@ -175,7 +175,7 @@
         tell(&nodes[0], &nodes[1], vec![three_ends(["a", "b", "c"])]);
         sleep(Duration::from_secs(601)).await;
         assert_eq!(nodes[0].verdict_on_digest(DIGEST), Verdict::Trial);
-        let news = PoisonNews {
+        let news = PoisonUpdate {
             trials: 1,
             tried_age_ms: Some(5),
             ..three_ends(["a", "b", "c"])
@@ -214,7 +214,7 @@
         for between in 1..6 {
             let nodes: Vec<_> = (0..2).map(node).collect();
             for number in 0..40 {
-                let news = PoisonNews {
+                let news = PoisonUpdate {
                     digest: Digest(number),
                     ..three_ends(["a", "b", "c"])
                 };
@@ -237,12 +237,15 @@
     run_paused(async {
         let nodes = zone_of_many();
         for number in 0..70 {
-            let news = PoisonNews {
+            let news = PoisonUpdate {
                 digest: Digest(number),
                 ..three_ends(["a", "b", "c"])
             };
             tell(&nodes[3], &nodes[4], vec![news]);
-            nodes[3].state_mut().poison_news.insert(Digest(number), 1);
+            nodes[3]
+                .state_mut()
+                .poison_updates
+                .insert(Digest(number), 1);
         }
         nodes[3].tell_peers_soon();
         let is_urgent = || async {
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -6,7 +6,7 @@
 
 use hyper::StatusCode;
 use ryerouter_gateway::catalogue::RequestKind;
-use ryerouter_gateway::serve::StopSettings;
+use ryerouter_gateway::serve::ShutdownSettings;
 use ryerouter_gateway::source::ItemKind;
 use support::gateway_bench::{GatewayBench, run, settings};
 use support::records::{KEY_OF_TENANT, engine, route, table};
@@ -342,8 +342,8 @@
         let text = b"GET /x HTTP/1.1\r\nhost: shop.example\r\nx-id: r1\r\n\r\n";
         running.try_write(text).unwrap();
         first.until_arrived(1).await;
-        let stop = bench.stop(StopSettings {
-            late_callers: Duration::from_millis(50),
+        let stop = bench.stop(ShutdownSettings {
+            accept_grace: Duration::from_millis(50),
             grace: Duration::from_secs(60),
         });
         while tokio::net::TcpStream::connect(bench.address).await.is_ok() {
--- a/crates/gateway/tests/silent_engines.rs
+++ b/crates/gateway/tests/silent_engines.rs
@@ -46,7 +46,7 @@
         }
         let mut route = route(kind);
         route.timeout = TIMEOUT;
-        route.most_attempts = attempts;
+        route.max_attempts = attempts;
         let bench = GatewayBench::start(Some(table(1, vec![route])), entries).await;
         let fixture = Self {
             bench: Rc::new(bench),
--- a/crates/gateway/tests/slow_bodies.rs
+++ b/crates/gateway/tests/slow_bodies.rs
@@ -8,7 +8,7 @@
 
 use raw_engine::RawEngines;
 use ryerouter_gateway::catalogue::{CallerLimits, RequestKind};
-use ryerouter_gateway::serve::StopSettings;
+use ryerouter_gateway::serve::ShutdownSettings;
 use support::gateway_bench::{GatewayBench, run};
 use support::records::{engine, route, table_with_limits};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -138,8 +138,8 @@
             tokio::task::yield_now().await;
         }
         let began = Instant::now();
-        let stop = bench.stop(StopSettings {
-            late_callers: Duration::ZERO,
+        let stop = bench.stop(ShutdownSettings {
+            accept_grace: Duration::ZERO,
             grace: LONG,
         });
         stop.await.expect("stop");
--- a/crates/gateway/tests/small_parts.rs
+++ b/crates/gateway/tests/small_parts.rs
@@ -27,7 +27,7 @@
     }
     assert_eq!(passed, out.as_bytes());
     assert_eq!(last.as_deref(), last_id);
-    assert_eq!(splitter.held_bytes(), held);
+    assert_eq!(splitter.buffered_bytes(), held);
 }
 
 #[test]
--- a/crates/gateway/tests/support/gateway_bench.rs
+++ b/crates/gateway/tests/support/gateway_bench.rs
@@ -21,7 +21,9 @@
 use ryerouter_gateway::places::Places;
 use ryerouter_gateway::retry::RetrySettings;
 use ryerouter_gateway::rollout::RolloutSettings;
-use ryerouter_gateway::serve::{StopSettings, planned_stop, serve_callers, serve_callers_on};
+use ryerouter_gateway::serve::{
+    ShutdownSettings, graceful_shutdown, serve_callers, serve_callers_with,
+};
 use ryerouter_gateway::source::{Item, ItemChange, ItemKind};
 use ryerouter_gateway::upstream::ConnectSettings;
 use slog::{Logger, o};
@@ -180,7 +182,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let connections = OpenConnections::at_most(&gateway, move || most);
-        let serving = serve_callers_on(Rc::clone(&gateway), listener, connections);
+        let serving = serve_callers_with(Rc::clone(&gateway), listener, connections);
         Self {
             _keeping: poison_records::keep(&gateway),
             gateway,
@@ -190,10 +192,10 @@
     }
 
     /// Begins a planned stop; the task returned ends with it.
-    pub fn stop(&mut self, settings: StopSettings) -> JoinHandle<()> {
+    pub fn stop(&mut self, settings: ShutdownSettings) -> JoinHandle<()> {
         let gateway = Rc::clone(&self.gateway);
         let accepting = self.accepting.take().expect("stops once");
-        spawn_local(async move { planned_stop(&gateway, accepting, &settings).await })
+        spawn_local(async move { graceful_shutdown(&gateway, accepting, &settings).await })
     }
 
     /// Sends a request with these headers and reads the answer.
--- a/crates/gateway/tests/support/poison_records.rs
+++ b/crates/gateway/tests/support/poison_records.rs
@@ -8,7 +8,7 @@
 use futures_util::future::LocalBoxFuture;
 use ryerouter_core::poison::Digest;
 use ryerouter_gateway::gateway::Gateway;
-use ryerouter_gateway::poison::{Record, keep_records};
+use ryerouter_gateway::poison::{Record, sync_records};
 use ryerouter_gateway::source::{Consistency, PoisonStore, RecordWrite, SourceError, StoredRecord};
 use tokio::task::JoinSet;
 
@@ -134,7 +134,7 @@
 pub fn keep(gateway: &Rc<Gateway>) -> JoinSet<()> {
     let mut keeping = JoinSet::new();
     if let Ok(store) = RECORDS.try_with(Rc::clone) {
-        keeping.spawn_local(keep_records(Rc::clone(gateway), store));
+        keeping.spawn_local(sync_records(Rc::clone(gateway), store));
     }
     keeping
 }
--- a/crates/gateway/tests/support/records.rs
+++ b/crates/gateway/tests/support/records.rs
@@ -34,7 +34,7 @@
         timeout: Duration::from_secs(5),
         target_latency: Duration::from_millis(500),
         longest_pause: None,
-        most_attempts: 2,
+        max_attempts: 2,
         priority: 1,
         pools: vec![WeightedPool {
             pool: PoolName::new(POOL),
--- a/crates/gateway/tests/support/test_dialect.rs
+++ b/crates/gateway/tests/support/test_dialect.rs
@@ -47,10 +47,10 @@
             value: String::new(),
             reason: "is missing".to_owned(),
         })?;
-        let patience = text(PATIENCE_MS).and_then(|millis| millis.parse().ok());
+        let timeout = text(PATIENCE_MS).and_then(|millis| millis.parse().ok());
         Ok(CallerRequest {
             id,
-            patience: patience.map(Duration::from_millis),
+            timeout: timeout.map(Duration::from_millis),
             key: text(KEY),
             prompt: text(PARTS).map(|parts| prompt(&parts)),
             last_event_id: text(AFTER),
@@ -69,7 +69,7 @@
         AnswerFacts {
             request_id: text(&head.headers, ID),
             is_not_executed: head.headers.contains_key(NOT_EXECUTED),
-            is_signed: head.headers.contains_key(SIGNED),
+            has_server_stamp: head.headers.contains_key(SIGNED),
             weights: None,
             idle_timeout: None,
             signal: signal(head),
