--- a/crates/gateway/src/poison/crash_update.rs
+++ b/crates/gateway/src/poison/crash_update.rs
@@ -1,4 +1,4 @@
-//! News of an engine that ended under a request.
+//! A crash of an engine, as nodes send it to each other.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use ryerouter_core::poison::Crash;
 use serde::{Deserialize, Serialize};
 
-/// News of an engine that ended under a request.
+/// A crash of an engine under a request, as nodes send it to each other. Times are ages, since nodes share no clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// The engine.
+    /// The engine that crashed.
     #[serde(rename = "e")]
     pub engine: BackEndName,
-    /// Its life.
+    /// Its incarnation, if known.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
-    /// How long ago it ended, in milliseconds.
+    /// Milliseconds since the crash.
     #[serde(rename = "a")]
     pub age_ms: u64,
-    /// How long before that the request was sent to it, in milliseconds.
+    /// Milliseconds from sending the request to the crash.
     #[serde(rename = "t")]
     pub took_ms: u64,
-    /// Whether the engine may have ended before.
+    /// Whether the engine may have crashed before it was sent the request.
     #[serde(rename = "u", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_unproven: bool,
 }
 
 impl CrashUpdate {
-    /// News of an end that is told now.
+    /// Creates an update that is sent at `now`.
     pub fn new(crash: &Crash, now: Timestamp) -> Self {
         Self {
             engine: crash.engine.clone(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The end that was told now.
+    /// The crash described by an update that was received at `now`.
     pub fn crash(&self, now: Timestamp) -> Crash {
         let ended = now.before(Duration::from_millis(self.age_ms));
         Crash {
--- a/crates/gateway/src/poison/poison_update.rs
+++ b/crates/gateway/src/poison/poison_update.rs
@@ -1,4 +1,4 @@
-//! What a node knows of a request under which engines ended.
+//! The crash history of a request, as nodes send it to each other.
 
 use std::time::Duration;
 
@@ -8,31 +8,32 @@
 
 use super::CrashUpdate;
 
-/// What a node knows of a request under which engines ended.
+/// The crash history of a request, as nodes send it to each other and store it. Times are ages, since nodes share no
+/// clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoisonUpdate {
-    /// The request.
+    /// Digest of the request.
     #[serde(rename = "d")]
     pub digest: Digest,
-    /// The engines that ended.
+    /// Crashes of engines that ran the request.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<CrashUpdate>,
-    /// How long ago it last ran to a good end, in milliseconds.
+    /// Milliseconds since its last successful run.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub cleared_age_ms: Option<u64>,
-    /// How many trials have begun.
+    /// Number of trials that have started.
     #[serde(rename = "n", default)]
     pub trials: u32,
-    /// How long ago the last of them began, in milliseconds.
+    /// Milliseconds since the start of the last trial.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub tried_age_ms: Option<u64>,
-    /// Whether the sender knows that the store holds this.
+    /// Whether the sender knows that the store holds this history.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_recorded: bool,
 }
 
 impl PoisonUpdate {
-    /// News that are told now.
+    /// Creates an update that is sent at `now`.
     pub fn new(digest: Digest, history: &History, now: Timestamp) -> Self {
         let age_ms = |at: Timestamp| now.since(at).as_millis() as u64;
         let crashes = history.crashes.iter();
@@ -46,7 +47,7 @@
         }
     }
 
-    /// What was told now.
+    /// The history described by an update that was received at `now`.
     pub fn history(&self, now: Timestamp) -> History {
         let at = |age_ms: u64| now.before(Duration::from_millis(age_ms));
         let crashes = self.crashes.iter();
--- a/crates/gateway/src/poison/read_progress.rs
+++ b/crates/gateway/src/poison/read_progress.rs
@@ -1,13 +1,14 @@
-//! How far a node has read the records of requests that are held back.
+//! How much of the stored crash histories a node has read.
 
-/// How far a node has read the records.
+/// How much of the stored crash histories a node has read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReadProgress {
-    /// Not at all yet.
+    /// Nothing yet.
     Unread,
-    /// As they were some seconds before.
+    /// A stale copy, which may miss what was written in the last seconds before it was read.
     Stale,
-    /// All that was recorded when the node asked; what comes later the others tell. Also where there is no store.
+    /// Everything that was stored at the time of the read; other nodes report what is written later. Also the state
+    /// without a store.
     #[default]
     Current,
 }
--- a/crates/gateway/src/poison/record.rs
+++ b/crates/gateway/src/poison/record.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of a request that is held back.
+//! The stored crash history of a request.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,21 +8,22 @@
 
 use super::PoisonUpdate;
 
-/// What the store keeps of a request that is held back.
+/// The crash history of a request, as it is stored.
 ///
-/// The steady clock of a process says nothing to another one, so ages count from a time of day. Steps of that clock
-/// make a trial come seconds earlier or later, and change neither the order of ends nor their number.
+/// Ages count from the wall-clock time at which the record was written, since the monotonic clock of one process means
+/// nothing to another. Steps of the wall clock move a trial by seconds, and change neither the order nor the number of
+/// crashes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What was known when this was written.
+    /// The history, with ages as of the time of writing.
     #[serde(flatten)]
     update: PoisonUpdate,
-    /// When that was, in milliseconds since the Unix epoch.
+    /// Time of writing, in milliseconds since the Unix epoch.
     written_at_ms: u64,
 }
 
 impl Record {
-    /// What is known now, which is `time` by the time of day.
+    /// Creates a record of `history` that is written at `now`, which is `time` by the wall clock.
     pub fn new(digest: Digest, history: &History, now: Timestamp, time: SystemTime) -> Self {
         Self {
             update: PoisonUpdate::new(digest, history, now),
@@ -30,12 +31,12 @@
         }
     }
 
-    /// The request.
+    /// Digest of the request.
     pub fn digest(&self) -> Digest {
         self.update.digest
     }
 
-    /// What was known, as of now.
+    /// The stored history, with its times converted to this process's clock.
     pub fn history(&self, now: Timestamp, time: SystemTime) -> History {
         let age = millis_of(time).saturating_sub(self.written_at_ms);
         self.update.history(now.before(Duration::from_millis(age)))
--- a/crates/gateway/src/poison/record_sync.rs
+++ b/crates/gateway/src/poison/record_sync.rs
@@ -1,4 +1,4 @@
-//! Keeping the records of requests that are held back.
+//! Reads stored crash histories, and writes new ones to the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use crate::gateway::Gateway;
 use crate::source::{Backoff, Consistency, PoisonStore, RecordWrite, SourceError};
 
-/// Longest time for an answer; the store answers within milliseconds, when it is slow within some hundred.
+/// Timeout of a call to the store, which answers within milliseconds, or within some hundred when it is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Waits after a call that failed.
+/// Pauses after failed calls.
 const BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(200),
     longest: Duration::from_millis(2_400),
 };
 
-/// Reads the records at the start, and writes what this node finds out, until dropped.
+/// Reads the records at startup and writes what this node finds out, until dropped.
 ///
-/// Nodes keep nothing, and all of them may be killed at once. What was proven by engines that ended would have to be
-/// proven again by as many, each time.
+/// Nodes have no storage of their own, and all of them may be killed at once. Without the records, each time as many
+/// engines would have to crash again before a request is blocked again.
 pub fn sync_records(gateway: Rc<Gateway>, store: Rc<dyn PoisonStore>) -> impl Future<Output = ()> {
     gateway.expect_poison_records();
     async move {
@@ -31,8 +31,10 @@
     }
 }
 
-/// All nodes may start at once, so the first reading is a stale one, which costs the store little. What was recorded in the
-/// last seconds before that is read when engines end under a request.
+/// Reads the records once from a stale copy, and again linearizably when a request needs them.
+///
+/// All nodes may start at the same time, so the first read is a stale one, which costs the store little. Records of the
+/// last seconds before it are read when engines crash under a request.
 async fn read_records(gateway: &Gateway, store: &dyn PoisonStore) {
     read_until_done(gateway, store, Consistency::Stale).await;
     while !gateway.wants_current_records() {
@@ -81,7 +83,7 @@
             }
             Ok(RecordWrite::Conflict(stored)) => gateway.note_poison_conflict(digest, stored),
             Err(error @ SourceError::Unreadable { .. }) => {
-                // Another try would meet the same.
+                // A retry would read the same content.
                 warn!(gateway.log(), "poison_record_unreadable"; "digest" => %digest,
                     "revision" => revision, "error" => %error);
                 gateway.note_poison_unwritten(digest, revision, None);
@@ -99,7 +101,8 @@
     }
 }
 
-/// One that is not removed is found by a node that starts later.
+/// Removes the records that are scheduled for removal. A failed removal is not retried: a node that starts later finds
+/// the record and removes it.
 async fn remove_records(gateway: &Gateway, store: &dyn PoisonStore) {
     loop {
         let removal = gateway.state_mut().poison_records.next_removal();
--- a/crates/gateway/src/poison/record_table.rs
+++ b/crates/gateway/src/poison/record_table.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the records of requests that are held back.
+//! What a node knows about the stored crash histories.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,53 +7,53 @@
 
 use super::ReadProgress;
 
-/// The record of one request.
+/// What is known about the record of one request.
 #[derive(Debug, Default)]
 struct Entry {
-    /// Its revision in the store, as far as this node knows.
+    /// Its revision in the store, if known.
     revision: Option<u64>,
-    /// Whether the store holds one, at whatever revision.
+    /// Whether the store holds a record, at an unknown revision.
     is_stored: bool,
-    /// When this node writes what it knows.
+    /// When this node writes its history of the request; `None` if nothing is to be written.
     due_at: Option<Timestamp>,
-    /// Whether it is being written; what is found out meanwhile is due again.
+    /// Whether a write is in progress. Changes during the write are scheduled for another one.
     is_being_written: bool,
 }
 
-/// What a node knows of the records of requests that are held back.
+/// What a node knows about the stored crash histories, and what it has to write to the store or remove from it.
 #[derive(Debug, Default)]
 pub struct RecordTable {
-    /// Whether there is a store that keeps them.
+    /// Whether there is a store. Without one nothing is scheduled.
     pub has_store: bool,
-    /// How far they have been read.
+    /// How much of the stored records has been read.
     pub read_progress: ReadProgress,
-    /// When a request first had to wait for the reading.
+    /// When a request first had to wait for records to be read.
     pub requested_at: Option<Timestamp>,
     entries: BTreeMap<Digest, Entry>,
-    /// Records of requests that are forgotten, and their revisions.
+    /// Records that are to be removed from the store, with their revisions.
     removals: VecDeque<(Digest, u64)>,
 }
 
 impl RecordTable {
-    /// Revision of a record in the store, as far as this node knows.
+    /// Revision of a request's record in the store, if known.
     pub fn revision(&self, digest: Digest) -> Option<u64> {
         self.entries.get(&digest)?.revision
     }
 
-    /// Whether the store holds a record, as far as this node knows.
+    /// Whether the store is known to hold a record of a request.
     pub fn is_stored(&self, digest: Digest) -> bool {
         let entry = self.entries.get(&digest);
         entry.is_some_and(|entry| entry.is_stored || entry.revision.is_some())
     }
 
-    /// Another node has written a record, or is about to.
+    /// Notes that another node has written a record of a request, or is about to.
     pub fn note_stored(&mut self, digest: Digest) {
         if self.has_store {
             self.entries.entry(digest).or_default().is_stored = true;
         }
     }
 
-    /// What is known of a request is to be written, at this time at the latest.
+    /// Schedules the history of a request to be written no later than at `at`.
     pub fn schedule_write(&mut self, digest: Digest, at: Timestamp) {
         if !self.has_store {
             return;
@@ -62,14 +62,14 @@
         *due_at = Some(due_at.map_or(at, |due_at| due_at.min(at)));
     }
 
-    /// What is known of a request is written now.
+    /// Marks the write of a request's history as started.
     pub fn begin_write(&mut self, digest: Digest) {
         let entry = self.entries.entry(digest).or_default();
         entry.due_at = None;
         entry.is_being_written = true;
     }
 
-    /// The store has answered, or will not; it holds this revision now, as far as this node knows.
+    /// Marks the write as finished, whether it succeeded or not; the store holds this revision now, if known.
     pub fn end_write(&mut self, digest: Digest, revision: Option<u64>) {
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.revision = revision;
@@ -77,40 +77,40 @@
         }
     }
 
-    /// The store holds what this node knows.
+    /// Cancels the scheduled write of a history that the store already holds, or that need not be stored.
     pub fn cancel_write(&mut self, digest: Digest) {
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.due_at = None;
         }
     }
 
-    /// Whether this node has something to write of a request.
+    /// Whether a write of a request's history is scheduled or in progress.
     pub fn has_pending_write(&self, digest: Digest) -> bool {
         let entry = self.entries.get(&digest);
         entry.is_some_and(|entry| entry.due_at.is_some() || entry.is_being_written)
     }
 
-    /// The store holds a record at this revision.
+    /// Notes that the store holds a record at this revision.
     pub fn note_revision(&mut self, digest: Digest, revision: u64) {
         self.entries.entry(digest).or_default().revision = Some(revision);
     }
 
-    /// Nothing is known of a request any more; tells the revision of its record.
+    /// Removes the entry of a request, and returns the revision of its record, if known.
     pub fn forget(&mut self, digest: Digest) -> Option<u64> {
         self.entries.remove(&digest)?.revision
     }
 
-    /// A record is to be removed.
+    /// Schedules a record to be removed from the store.
     pub fn schedule_removal(&mut self, digest: Digest, revision: u64) {
         self.removals.push_back((digest, revision));
     }
 
-    /// A record that is to be removed.
+    /// Takes the next record that is to be removed from the store.
     pub fn next_removal(&mut self) -> Option<(Digest, u64)> {
         self.removals.pop_front()
     }
 
-    /// What is to be written first, and when.
+    /// The request whose history is to be written first, and when.
     pub fn next_write(&self) -> Option<(Digest, Timestamp)> {
         let due = self.entries.iter();
         let due = due.filter_map(|(digest, entry)| Some((*digest, entry.due_at?)));
--- a/crates/gateway/src/poison/run.rs
+++ b/crates/gateway/src/poison/run.rs
@@ -1,4 +1,4 @@
-//! A run that may end its engine.
+//! A run of a request on an engine.
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::poison::Digest;
@@ -6,23 +6,24 @@
 use crate::placement::Placement;
 use crate::serve::AcceptedRequest;
 
-/// A run of a request at an engine, for what becomes of the engine after the request has gone elsewhere.
+/// A run of a request on an engine, kept to attribute a crash of the engine to the request after that has been sent
+/// elsewhere.
 #[derive(Debug, Clone)]
 pub struct Run {
     /// Id of the request.
     pub request: String,
-    /// What stands for it and its repeats.
+    /// Digest of the request.
     pub digest: Digest,
-    /// Its route.
+    /// Name of its route.
     pub route: String,
-    /// The engine, in the life in which it was chosen.
+    /// The engine, in the incarnation for which it was chosen.
     pub placement: Placement,
-    /// When it was sent.
+    /// When the request was sent.
     pub began: Timestamp,
 }
 
 impl Run {
-    /// A run that began then.
+    /// Creates a run that began at `began`.
     pub fn new(request: &AcceptedRequest, placement: &Placement, began: Timestamp) -> Self {
         Self {
             request: request.caller.id.clone(),
--- a/crates/gateway/src/relay/event_splitter.rs
+++ b/crates/gateway/src/relay/event_splitter.rs
@@ -1,38 +1,38 @@
-//! Finding whole events in a stream.
+//! Splits a stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
 use super::RelayFault;
 
-/// Longest event that is held back for its end.
+/// Maximum size of an event, which is buffered until its end has been received.
 const MAX_EVENT_BYTES: usize = 1_024 * 1_024;
-/// Line that begins with the id of an event.
+/// Start of the line that holds the id of an event.
 const ID_FIELD: &str = "id:";
 
-/// Whole events, ready to be passed on.
+/// Complete events, ready to be forwarded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventBatch {
-    /// Their bytes, unchanged.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// Id of the last one that has an id.
+    /// Id of the last event that has one.
     pub last_id: Option<String>,
 }
 
-/// Cuts a stream after whole events, so that a caller never gets part of one.
+/// Splits a stream after complete events, so that a caller never receives part of one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes and gives the events that are now whole.
+    /// Appends bytes, and returns the events that are now complete, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<EventBatch>, RelayFault> {
         self.buffer.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.buffer) else {
             if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(RelayFault {
-                    detail: format!("event longer than {MOST_HELD_BYTES} bytes"),
+                    detail: format!("event is longer than {MAX_EVENT_BYTES} bytes"),
                 });
             }
             return Ok(None);
@@ -45,18 +45,18 @@
         }))
     }
 
-    /// Bytes of an event whose end has not come.
+    /// Number of buffered bytes, which belong to an event whose end has not been received.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes the rest of a stream that ended well.
+    /// Takes the buffered bytes after the end of the stream.
     pub fn finish(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 }
 
-/// Where the last whole event ends: after its blank line.
+/// Position after the blank line that ends the last complete event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let plain = memmem::rfind(bytes, b"\n\n").map(|at| at + 2);
     let with_returns = memmem::rfind(bytes, b"\r\n\r\n").map(|at| at + 4);
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Passing answers on.
+//! Relaying of engines' answers to callers.
 
 mod event_splitter;
 mod relay_fault;
--- a/crates/gateway/src/relay/stream_end.rs
+++ b/crates/gateway/src/relay/stream_end.rs
@@ -5,16 +5,16 @@
 /// How a relayed stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum StreamEnd {
-    /// Whole.
+    /// All of it was relayed.
     #[display("completed")]
     Completed,
-    /// The engine broke off and nothing could go on.
+    /// The engine's answer broke off, and no other engine could resume it.
     #[display("broken")]
     Broken,
-    /// Its time ran out.
+    /// The deadline of the request passed.
     #[display("deadline")]
     Deadline,
-    /// The caller left.
+    /// The caller disconnected.
     #[display("caller_left")]
     CallerDisconnected,
 }
--- a/crates/gateway/src/request/answer_facts.rs
+++ b/crates/gateway/src/request/answer_facts.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer says.
+//! Information from the head of an engine's answer.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use super::InvalidField;
 
-/// What the head of an engine's answer says, besides its status.
+/// Information from the head of an engine's answer, besides the status.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AnswerFacts {
-    /// The request that it answers.
+    /// Id of the request that is answered.
     pub request_id: Option<String>,
-    /// The request certainly has not run and will not.
+    /// Whether the engine guarantees that the request has not run and will not run.
     pub is_not_executed: bool,
-    /// Whether it carries the mark that every true answer of an engine has.
+    /// Whether the answer carries the stamp that engines set on every answer.
     pub has_server_stamp: bool,
-    /// Weights that the request runs on.
+    /// Version of the weights on which the request runs.
     pub weights: Option<u64>,
-    /// How long the engine keeps the connection idle.
+    /// How long the engine keeps the connection open while it is idle.
     pub idle_timeout: Option<Duration>,
-    /// What the engine says of itself.
+    /// Load and limits that the engine signals.
     pub signal: Signal,
-    /// Fields of that which make no sense.
+    /// Fields of the signal that could not be parsed and were ignored.
     pub invalid_fields: Vec<InvalidField>,
 }
--- a/crates/gateway/src/request/bad_request.rs
+++ b/crates/gateway/src/request/bad_request.rs
@@ -1,8 +1,8 @@
-//! A request head that makes no sense.
+//! An invalid field in the head of a request.
 
 use derive_more::{Display, Error};
 
-/// A request head that makes no sense.
+/// A caller's request whose head has an invalid field.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field}: '{value}' {reason}")]
 pub struct BadRequest {
--- a/crates/gateway/src/request/caller_request.rs
+++ b/crates/gateway/src/request/caller_request.rs
@@ -1,20 +1,20 @@
-//! A caller's request.
+//! Information from the head of a caller's request.
 
 use std::time::Duration;
 
 use crate::placement::Prompt;
 
-/// What the head of a caller's request says, besides method, path and host.
+/// Information from the head of a caller's request, besides method, path and host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Names this attempt of the caller.
+    /// Id of the request. A retry by the caller has another one.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// The tenant's key.
+    /// API key of the tenant.
     pub key: Option<String>,
-    /// Its prompt; `None` for plain requests.
+    /// Description of the prompt; `None` for requests without one.
     pub prompt: Option<Prompt>,
-    /// Last event that the caller has of an earlier, broken answer.
+    /// Id of the last event that the caller received of an earlier answer that broke off.
     pub last_event_id: Option<String>,
 }
--- a/crates/gateway/src/request/invalid_field.rs
+++ b/crates/gateway/src/request/invalid_field.rs
@@ -1,12 +1,12 @@
-//! A header field of an answer that makes no sense.
+//! An invalid header field of an answer.
 
 use derive_more::Display;
 
-/// A header field of an answer that makes no sense and is passed over.
+/// A header field of an answer that could not be parsed and is ignored.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{field}: '{value}' {reason}")]
 pub struct InvalidField {
-    /// The field.
+    /// Name of the field.
     pub field: String,
     /// Its value.
     pub value: String,
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and the two translations that surround the gateway.
+//! Callers' requests, and the translation of request and answer heads from and to the wire protocol.
 
 mod answer_facts;
 mod attempt_head;
--- a/crates/gateway/src/request/refusal.rs
+++ b/crates/gateway/src/request/refusal.rs
@@ -1,74 +1,74 @@
-//! Final answers of the gateway's own.
+//! Refusals: answers that the gateway gives itself.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use hyper::StatusCode;
 
-/// Why a request gets no answer of an engine.
+/// Why the gateway refuses a request instead of relaying an engine's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// The node has not received a configuration yet.
     #[display("no_configuration")]
     NoConfiguration,
     /// The configuration may be out of date, so keys can't be trusted.
     #[display("configuration_unproven")]
     ConfigurationUnproven,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     #[display("no_route")]
     NoRoute,
-    /// The key is unknown, or missing.
+    /// The API key is unknown or missing.
     #[display("unknown_key")]
     UnknownKey,
     /// The tenant has used up its limit.
     #[display("over_limit")]
     OverLimit,
-    /// A header field makes no sense.
+    /// A header field is invalid.
     #[display("bad_request")]
     BadRequest,
-    /// The body is longer than allowed, or broke off.
+    /// The body is longer than allowed.
     #[display("body_too_large")]
     BodyTooLarge,
     /// The caller's body broke off.
     #[display("body_broken")]
     BodyBroken,
-    /// The caller's body did not come in time.
+    /// The caller's body did not arrive in time.
     #[display("body_too_slow")]
     BodyTooSlow,
-    /// No engine takes work now.
+    /// No engine accepts requests now.
     #[display("no_engine")]
     NoEngine,
-    /// Every engine that was asked had no room or could not be reached.
+    /// Engines refused the request or could not be reached, and no further attempt is allowed.
     #[display("not_run")]
     NotRun,
-    /// Engines have ended under this request again and again.
+    /// Engines have crashed repeatedly while running this request.
     #[display("ends_engines")]
     CrashesEngines,
-    /// The time ran out before the request ran.
+    /// The deadline passed before the request ran.
     #[display("deadline_not_run")]
     DeadlineNotRun,
-    /// The time ran out; the request may have run.
+    /// The deadline passed; the request may have run.
     #[display("deadline_may_have_run")]
     DeadlineMayHaveRun,
-    /// The engine broke off; the request may have run and must not run twice.
+    /// No usable answer was received; the request may have run and is not sent again.
     #[display("may_have_run")]
     MayHaveRun,
 }
 
-/// The final answer to a request that gets none of an engine.
+/// The final answer to a request that the gateway refuses.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{reason}: {detail}")]
 pub struct Refusal {
-    /// Why.
+    /// Machine-readable reason.
     pub reason: RefusalReason,
-    /// For a person.
+    /// Explanation for a person.
     pub detail: String,
-    /// When the caller may come back, where that helps.
+    /// How long the caller should wait before a retry; `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal after which it is of no use to come back.
+    /// Creates a refusal after which a retry does not help.
     pub fn new(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets how long the caller should wait before a retry.
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Whether the request certainly has not run.
+    /// Whether it is certain that the request has not run.
     pub fn is_not_run(&self) -> bool {
         let may_run = [RefusalReason::MayHaveRun, RefusalReason::DeadlineMayHaveRun];
         !may_run.contains(&self.reason)
     }
 
-    /// The status of the answer: 408 and 503 promise that the request has not run, 502 and 504 do not.
+    /// The status of the answer. Statuses 408 and 503 guarantee that the request has not run, 502 and 504 do not.
     pub fn status(&self) -> StatusCode {
         match self.reason {
             RefusalReason::NoRoute => StatusCode::NOT_FOUND,
--- a/crates/gateway/src/request/unreadable_configuration.rs
+++ b/crates/gateway/src/request/unreadable_configuration.rs
@@ -1,11 +1,11 @@
-//! A configuration that makes no sense.
+//! A configuration that could not be parsed.
 
 use derive_more::{Display, Error};
 
-/// A configuration that makes no sense.
+/// A configuration that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{detail}")]
 pub struct UnreadableConfiguration {
-    /// Where it stops making sense.
+    /// Position and cause of the error.
     pub detail: String,
 }
