--- a/crates/gateway/src/serve/accept.rs
+++ b/crates/gateway/src/serve/accept.rs
@@ -1,4 +1,4 @@
-//! Taking a request in: its head, its body, its route and its key.
+//! Accepts a request: reads its body, finds its route and checks the caller's key.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -17,13 +17,14 @@
 use crate::gateway::Gateway;
 use crate::request::{CallerRequest, Refusal, RefusalReason};
 
-/// When to come back to a node that has no configuration yet, an unproven one, or one that leads
-/// nowhere: the next one takes about this long to arrive.
+/// Retry-after time while this node has no configuration, an unconfirmed one, or one whose route has no pool: the next
+/// configuration takes about this long to arrive.
 const CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
-/// The same when this node is cut off: others serve at once, and callers find them.
+/// Retry-after time when the configuration is unconfirmed because this node is isolated: callers find other nodes,
+/// which can serve at once.
 const OTHER_NODE_RETRY: Duration = Duration::from_millis(50);
 
-/// Checks a request whose head has been read, and reads its body.
+/// Reads the body of a request whose head has been parsed, and finds its route, tenant and pool.
 pub(super) async fn accept(
     gateway: &Rc<Gateway>,
     caller: CallerRequest,
@@ -39,13 +40,16 @@
         }
     };
     let table = gateway.state().table.clone().ok_or_else(|| {
-        Refusal::new(RefusalReason::NoConfiguration, "no configuration yet")
-            .with_retry_after(CONFIGURATION_RETRY)
+        Refusal::new(
+            RefusalReason::NoConfiguration,
+            "no configuration received yet",
+        )
+        .with_retry_after(CONFIGURATION_RETRY)
     })?;
     let route = find_route(&table, &head)?;
     let tenant = find_tenant(gateway, &table, &route, &caller)?;
     let pool = route.pool_of(&caller.id).cloned().ok_or_else(|| {
-        Refusal::new(RefusalReason::NoEngine, "route without a pool")
+        Refusal::new(RefusalReason::NoEngine, "route has no pool")
             .with_retry_after(CONFIGURATION_RETRY)
     })?;
     let timeout = request_timeout(&caller, &route);
@@ -68,8 +72,8 @@
     })
 }
 
-/// The bounds of a body. It is of no use after the time that its route gives the request, which
-/// counts from the head; one that leads nowhere has as long as a caller may be idle.
+/// Returns a reader with the limits for this body. The body must arrive before the request's timeout, which counts from
+/// the arrival of the head; without a route it must arrive within the time for which a caller may be idle.
 fn body_reader(
     gateway: &Gateway,
     caller: &CallerRequest,
@@ -95,6 +99,7 @@
     }
 }
 
+/// The caller's timeout, limited by that of the route.
 fn request_timeout(caller: &CallerRequest, route: &Route) -> Duration {
     caller.timeout.unwrap_or(route.timeout).min(route.timeout)
 }
@@ -104,7 +109,7 @@
     let host = host.or(head.uri.host()).unwrap_or_default();
     let path = head.uri.path();
     table.route(host, path).cloned().ok_or_else(|| {
-        let detail = format!("host '{host}', path '{path}': no such route");
+        let detail = format!("no route for host '{host}' and path '{path}'");
         Refusal::new(RefusalReason::NoRoute, detail)
     })
 }
@@ -123,7 +128,7 @@
         let freshness = gateway.state().freshness();
         if !freshness.is_within(limit, now) {
             let age = freshness.age(now).map_or(0, |age| age.as_millis());
-            let detail = format!("configuration not proven current for {age} ms");
+            let detail = format!("configuration not confirmed current for {age} ms");
             let refusal = Refusal::new(RefusalReason::ConfigurationUnproven, detail);
             let wait = match gateway.is_cut_off() {
                 true => OTHER_NODE_RETRY,
@@ -135,8 +140,8 @@
     let tenant = caller.key.as_ref().and_then(|key| table.tenant_of(key));
     tenant.cloned().map(Some).ok_or_else(|| {
         let detail = match caller.key {
-            Some(_) => "key: unknown",
-            None => "key: missing",
+            Some(_) => "API key is unknown",
+            None => "API key is missing",
         };
         Refusal::new(RefusalReason::UnknownKey, detail)
     })
--- a/crates/gateway/src/serve/accepted_request.rs
+++ b/crates/gateway/src/serve/accepted_request.rs
@@ -1,4 +1,4 @@
-//! A request that may be sent to an engine.
+//! A request that has passed all checks and may be sent to an engine.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -14,37 +14,37 @@
 use crate::poison;
 use crate::request::CallerRequest;
 
-/// A request that may be sent to an engine.
+/// A request that has passed all checks and may be sent to an engine.
 #[derive(Debug)]
 pub struct AcceptedRequest {
-    /// What its head says.
+    /// Fields parsed from its head.
     pub caller: CallerRequest,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, unchanged.
+    /// Path and query, as received.
     pub uri: Uri,
-    /// Its headers that are passed on.
+    /// Headers that are forwarded: all but the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Its route.
+    /// Route that matches its host and path.
     pub route: Rc<Route>,
     /// The pool that serves it.
     pub pool: PoolName,
-    /// Who asks.
+    /// Tenant to which the caller's key belongs; `None` on public routes and without configured tenants.
     pub tenant: Option<Rc<Tenant>>,
-    /// Version of the configuration that decided all this.
+    /// Version of the configuration that determined route, tenant and pool.
     pub configuration_version: u64,
     /// When its head arrived.
     pub arrived_at: Timestamp,
-    /// When its final answer is due.
+    /// When the answer must be complete.
     pub deadline: Timestamp,
-    /// What stands for it and its repeats, once that was asked for: mostly it never is.
+    /// Cache of [`Self::digest`], which most requests never need.
     pub(super) digest: OnceCell<Digest>,
 }
 
 impl AcceptedRequest {
-    /// Its kind, as logs name it.
+    /// Name of the request's kind in logs.
     pub(super) fn kind_label(&self) -> &'static str {
         match (self.route.kind, self.route.is_idempotent()) {
             (RequestKind::Safe, _) => "safe",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What stands for it and its repeats.
+    /// Digest that identifies the request and its retries by the caller.
     pub fn digest(&self) -> Digest {
         *self.digest.get_or_init(|| {
             let caller = self.tenant.as_ref().map(|tenant| &tenant.name);
@@ -63,12 +63,12 @@
         })
     }
 
-    /// Whether a good answer is a stream.
+    /// Whether a successful answer is a stream of events.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RequestKind::Streaming
     }
 
-    /// Urgency, 0 first: the tenant's takes precedence over the route's.
+    /// Priority, 0 being the most urgent. The tenant's takes precedence over the route's.
     pub fn priority(&self) -> u8 {
         let of_tenant = self.tenant.as_ref().and_then(|tenant| tenant.priority);
         of_tenant.unwrap_or(self.route.priority)
--- a/crates/gateway/src/serve/active_request.rs
+++ b/crates/gateway/src/serve/active_request.rs
@@ -1,4 +1,4 @@
-//! A request in progress, for logs and counts.
+//! Counts and logs requests in progress.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,13 +9,14 @@
 use super::request_progress::RequestProgress;
 use crate::gateway::Gateway;
 
-/// Counts a request while it lasts, and logs that its caller left when nothing else ended it.
+/// Counts a request as active until dropped. If it is dropped before the request has ended, the caller has
+/// disconnected, which is logged.
 pub(super) struct ActiveRequest {
     gateway: Rc<Gateway>,
     id: String,
     arrived_at: Timestamp,
     is_ended: Cell<bool>,
-    /// Where it is held.
+    /// How far the request has come.
     pub(super) progress: Rc<RequestProgress>,
 }
 
@@ -31,14 +32,15 @@
         }
     }
 
-    /// The request got its final answer.
+    /// Counts the outcome of the request, which has been answered or given up.
     pub(super) fn end(&self, outcome: &str) {
         self.is_ended.set(true);
         let requests = &self.gateway.metrics().requests;
         requests.with_label_values(&[outcome]).inc();
     }
 
-    /// The request ended without a good answer: tells how long it was held, and where.
+    /// Like [`Self::end`], for a request that no engine answered successfully: also records how long it was held and in
+    /// which phase it ended.
     pub(super) fn end_unserved(&self, outcome: &str) {
         self.end(outcome);
         let progress = &self.progress;
@@ -58,7 +60,7 @@
             "may_have_run" => progress.may_have_run(), "left_out" => left_out);
     }
 
-    /// Milliseconds since its head arrived.
+    /// Milliseconds since the request's head arrived.
     pub(super) fn elapsed_ms(&self) -> u64 {
         let now = self.gateway.clock().now();
         now.since(self.arrived_at).as_millis() as u64
--- a/crates/gateway/src/serve/answer_body.rs
+++ b/crates/gateway/src/serve/answer_body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer to a caller.
+//! The body of an answer to a caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,16 +10,16 @@
 
 use crate::relay::RelayFault;
 
-/// Body of an answer to a caller.
+/// The body of an answer to a caller.
 pub enum AnswerBody {
-    /// All of it is known.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// It is passed on as it comes.
+    /// Events that are forwarded as they arrive.
     Stream(LocalBoxStream<'static, Result<Bytes, RelayFault>>),
 }
 
 impl AnswerBody {
-    /// A body that is known.
+    /// Creates a complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Full::new(bytes.into()))
     }
--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -1,4 +1,4 @@
-//! Tells how an answer ended, for releases of engine software.
+//! Reports how engines' answers end, for the evaluation of engine software releases.
 
 use std::fmt;
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use crate::placement::Placement;
 use crate::release::{AnswerEnd, AnswerTiming};
 
-/// Tells how an answer ended, once; when it is dropped before, that nobody waited for the end.
+/// Reports once how an answer ended. When dropped before that, it reports that nobody waited for the end.
 pub(super) struct AnswerReporter {
     gateway: Rc<Gateway>,
-    /// `None` after the end, and where there are no releases.
+    /// `None` after the end of the answer, and when no release needs its timing.
     timing: Option<AnswerTiming>,
 }
 
 impl AnswerReporter {
-    /// A request is sent to an engine.
+    /// Starts with the sending of a request to an engine.
     pub(super) fn begin(
         gateway: &Rc<Gateway>,
         request: &AcceptedRequest,
@@ -30,21 +30,21 @@
         }
     }
 
-    /// The next bytes are waited for.
+    /// Starts the time spent waiting for the engine's next bytes.
     pub(super) fn begin_wait(&mut self) {
         if let Some(timing) = &mut self.timing {
             timing.begin_wait(self.gateway.clock().now());
         }
     }
 
-    /// They came, or the stream ended.
+    /// Stops the time started by [`Self::begin_wait`]: bytes arrived, or the stream ended.
     pub(super) fn end_wait(&mut self) {
         if let Some(timing) = &mut self.timing {
             timing.end_wait(self.gateway.clock().now());
         }
     }
 
-    /// Whole events came.
+    /// Counts the events in `bytes`, which holds complete events only.
     pub(super) fn note_events(&mut self, bytes: &[u8]) {
         if let Some(timing) = &mut self.timing {
             let plain = memmem::find_iter(bytes, b"\n\n").count();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The answer has ended.
+    /// Reports the end of the answer, unless it has been reported.
     pub(super) fn end(&mut self, end: AnswerEnd) {
         if let Some(mut timing) = self.timing.take() {
             timing.end_wait(self.gateway.clock().now());
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one engine.
+//! Sends a request to one engine once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,15 +25,15 @@
 use crate::request::{AnswerFacts, AttemptHead};
 use crate::upstream::{AttemptFailure, UpstreamAnswer};
 
-/// An engine with other weights than expected is avoided for so long: it is about to load.
+/// How long an engine is avoided that has other weights than expected: it is about to load the expected ones.
 const MISDIRECTED_BACKOFF: Duration = Duration::from_millis(300);
-/// An engine that ends under a run does so within some tens of milliseconds. Longer would keep one at work on a request
-/// that has gone elsewhere.
+/// How long a run whose answer was rejected is watched for a crash of its engine, which comes within some tens of
+/// milliseconds. A longer time would keep the engine working on a request that has been sent elsewhere.
 const CRASH_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest time for the rest of a refusal whose connection is to be kept.
+/// Maximum time for reading the rest of a refusal, after which its connection is reused.
 const REFUSAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Sends a request to the chosen engine and waits for the head of a usable answer.
+/// Sends a request to the engine of `placement` and waits for the head of a usable answer.
 pub(super) async fn attempt(
     gateway: &Rc<Gateway>,
     request: &AcceptedRequest,
@@ -42,7 +42,7 @@
     progress: &RequestProgress,
 ) -> Result<LiveAnswer, AttemptError> {
     let in_flight = count_in_flight(gateway, request, placement)
-        .ok_or_else(|| AttemptError::NotConnected("engine gone".to_owned()))?;
+        .ok_or_else(|| AttemptError::NotConnected("engine is no longer listed".to_owned()))?;
     let engine_list = EngineListState::now(gateway, placement);
     engine_list.note(gateway, request, placement);
     progress.engine_list.set(engine_list);
@@ -142,8 +142,8 @@
     message
 }
 
-/// Whether what the head says of its engine is to be believed: the answer is to this request, and by the engine that
-/// it was sent to, not by another process at the same address.
+/// Whether the engine state in the head can be trusted: the answer belongs to this request and comes from the intended
+/// engine, not from another process at the same address.
 fn is_from_intended_engine(
     request: &AcceptedRequest,
     answer: &UpstreamAnswer,
@@ -156,7 +156,7 @@
     is_own && is_genuine && status != StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Whether the head is a usable answer to this request.
+/// Checks that the head belongs to a usable answer to this request.
 fn check_head(
     request: &AcceptedRequest,
     answer: &UpstreamAnswer,
@@ -169,7 +169,7 @@
         .is_some_and(|id| *id != request.caller.id);
     if is_foreign {
         return Err(AttemptError::MayHaveRun(
-            "answer to another request".to_owned(),
+            "answer belongs to another request".to_owned(),
         ));
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -178,28 +178,31 @@
     if facts.is_not_executed {
         return Err(AttemptError::NoRoom(status.as_u16()));
     }
-    // These promise that nothing ran, which nothing but the engine's mark can promise.
-    let is_promise = matches!(
+    // These statuses state that the request did not run, but only the engine's mark, checked above, guarantees that.
+    let claims_not_run = matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
             | StatusCode::TOO_MANY_REQUESTS
             | StatusCode::SERVICE_UNAVAILABLE
     );
-    if is_promise {
-        let detail = format!("status {} without the mark of not run", status.as_u16());
+    if claims_not_run {
+        let detail = format!(
+            "status {} without the mark that the request has not run",
+            status.as_u16()
+        );
         return Err(AttemptError::MayHaveRun(detail));
     }
     let is_encoded = answer.head.headers.contains_key(CONTENT_ENCODING);
-    let is_unsigned = !facts.has_server_stamp || facts.request_id.is_none();
-    if status.is_success() && (is_encoded || is_unsigned) {
+    let is_unidentified = !facts.has_server_stamp || facts.request_id.is_none();
+    if status.is_success() && (is_encoded || is_unidentified) {
         return Err(AttemptError::MayHaveRun(
-            "not an engine's answer".to_owned(),
+            "answer does not come from an engine".to_owned(),
         ));
     }
     Ok(())
 }
 
-/// The engine answers, whatever it says.
+/// Records the arrival of the head of an answer, whatever its status.
 fn note_head(
     gateway: &Gateway,
     request: &AcceptedRequest,
@@ -207,10 +210,10 @@
     sent_at: Timestamp,
     time_to_head: Duration,
 ) {
-    let is_in_life = gateway.is_in_life_of(placement);
+    let is_same_incarnation = gateway.is_in_life_of(placement);
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
-    if let Some(engine) = engine.filter(|_| is_in_life) {
+    if let Some(engine) = engine.filter(|_| is_same_incarnation) {
         engine.note_answer_to(sent_at);
     }
     let route = &request.route.name;
@@ -218,7 +221,7 @@
     times.note(&request.pool, route, AwaitedPart::Head, time_to_head);
 }
 
-/// The engine took the request; its answer tells its weights.
+/// Records that the engine accepted the request, and the weights stated in its answer.
 fn note_accepted(
     gateway: &Gateway,
     request: &AcceptedRequest,
@@ -238,7 +241,7 @@
     }
 }
 
-/// Reads the short rest of a refusal, so that its connection can be kept.
+/// Reads the short rest of a refusal, so that its connection can be reused.
 fn drain_refusal(
     gateway: &Rc<Gateway>,
     placement: &Placement,
@@ -258,8 +261,8 @@
     });
 }
 
-/// Waits for a moment whether the engine ends under a run whose answer was not taken: the request comes again, and
-/// would end the next one.
+/// Watches briefly whether the engine crashes under a run whose answer was rejected. An unnoticed crash would let the
+/// request crash the next engine when it is sent again.
 fn watch_for_crash(gateway: &Rc<Gateway>, run: Run, answer: UpstreamAnswer) {
     let gateway = Rc::clone(gateway);
     spawn_local(async move {
@@ -270,7 +273,7 @@
     });
 }
 
-/// Reads an answer to its end; whether it broke off.
+/// Reads an answer to its end, and returns whether it broke off.
 async fn ends_in_error(mut body: Incoming) -> bool {
     loop {
         match body.frame().await {
@@ -281,7 +284,7 @@
     }
 }
 
-/// Takes how an attempt ended into what is believed of the engine.
+/// Updates the engine's health and availability after a failed attempt, and counts the attempt.
 pub(super) fn apply_attempt_error(
     gateway: &Gateway,
     model: Option<&str>,
@@ -290,11 +293,11 @@
 ) {
     let expected = model.zip(placement.weights);
     let now = gateway.clock().now();
-    // How its former life ended says nothing of an engine that has begun again.
-    let is_in_life = gateway.is_in_life_of(placement);
+    // A failure of an earlier incarnation says nothing about an engine that has restarted since.
+    let is_same_incarnation = gateway.is_in_life_of(placement);
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
-    if let Some(engine) = engine.filter(|_| is_in_life) {
+    if let Some(engine) = engine.filter(|_| is_same_incarnation) {
         match error {
             AttemptError::NotConnected(_) => engine.health.unreachable(now),
             AttemptError::NoRoom(_) => {
@@ -306,7 +309,7 @@
                 engine.note_misdirected(expected, until);
             }
             AttemptError::Silent(SilenceCause::Connection) => {}
-            // Its work is no longer counted there, so it would look idle and attract more.
+            // The request no longer counts as load of the engine, which would look idle and attract more requests.
             AttemptError::Silent(SilenceCause::Engine) => engine.health.failed(now),
             AttemptError::EngineError(_)
             | AttemptError::Broken(_)
--- a/crates/gateway/src/serve/attempt_error.rs
+++ b/crates/gateway/src/serve/attempt_error.rs
@@ -1,38 +1,39 @@
-//! How an attempt ended without a usable answer.
+//! Why an attempt gave no usable answer.
 
 use derive_more::Display;
 
 use super::silence_cause::SilenceCause;
 use crate::release::AnswerEnd;
 
-/// How an attempt ended without a usable answer.
+/// Why an attempt gave no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub(super) enum AttemptError {
-    /// Nothing was written.
+    /// No connection was established, so nothing was sent.
     #[display("not_connected: {_0}")]
     NotConnected(String),
-    /// The engine had no room.
+    /// The engine refused the request without running it; holds the status.
     #[display("no_room: status {_0}")]
     NoRoom(u16),
-    /// The engine is another process than expected, or has other weights.
+    /// The engine is a different process than expected, or has other weights; holds the weights it stated.
     #[display("misdirected: {_0}")]
     Misdirected(String),
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with a server error; the request may have run.
     #[display("may_have_run: status {_0}")]
     EngineError(u16),
-    /// Nothing came for longer than answers take; it may have run.
+    /// No answer came for longer than answers usually take; the request may have run.
     #[display("silent: {_0}")]
     Silent(SilenceCause),
-    /// The connection ended before the answer did; it may have run, and its engine may have ended.
+    /// The connection was closed before the answer was complete; the request may have run, and the engine may have
+    /// crashed.
     #[display("may_have_run: {_0}")]
     Broken(String),
-    /// What came is no answer to it; it may have run.
+    /// The received answer is not one to this request; the request may have run.
     #[display("may_have_run: {_0}")]
     MayHaveRun(String),
 }
 
 impl AttemptError {
-    /// Whether the request reached the engine, so that the attempt counts in the retry budget.
+    /// Whether the request reached the engine, so that the attempt counts against the retry budget.
     pub(super) fn reached_engine(&self) -> bool {
         !matches!(self, Self::NotConnected(_))
     }
@@ -45,7 +46,7 @@
         )
     }
 
-    /// What it says of the answer.
+    /// How the answer ended, as reported for the evaluation of releases.
     pub(super) fn answer_end(&self) -> AnswerEnd {
         match self {
             Self::NotConnected(_) | Self::NoRoom(_) | Self::Misdirected(_) => AnswerEnd::NotRun,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A short name for metrics.
+    /// Label of the error in metrics.
     pub(super) fn label(&self) -> &'static str {
         match self {
             Self::NotConnected(_) => "not_connected",
--- a/crates/gateway/src/serve/body_reader.rs
+++ b/crates/gateway/src/serve/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body.
+//! Reads the bodies of callers' requests.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 
 use crate::request::{Refusal, RefusalReason};
 
-/// Reads a caller's body within its bounds.
+/// Reads the body of a caller's request within limits of size and time.
 #[derive(Debug)]
 pub(super) struct BodyReader {
-    /// Most bytes.
+    /// Maximum size of the body.
     pub(super) max_bytes: usize,
-    /// Longest time in which nothing comes.
+    /// Maximum time without any data.
     pub(super) idle_timeout: Duration,
-    /// When all of it must be there.
+    /// When the body must be complete.
     pub(super) deadline: Instant,
-    /// What the caller is told when it is not.
+    /// Reason of the refusal when the deadline passes.
     pub(super) late_reason: RefusalReason,
 }
 
 impl BodyReader {
-    /// Reads all of it. What has come already is taken without a look at the time.
+    /// Reads the complete body. Data that has already arrived is taken even when the deadline has passed.
     pub(super) async fn read(&self, body: Incoming) -> Result<Bytes, Refusal> {
         let mut body = Limited::new(body, self.max_bytes);
-        let Some(first) = self.next_part(&mut body).await? else {
+        let Some(first) = self.next_chunk(&mut body).await? else {
             return Ok(Bytes::new());
         };
-        let Some(second) = self.next_part(&mut body).await? else {
+        let Some(second) = self.next_chunk(&mut body).await? else {
             return Ok(first);
         };
         let mut whole = BytesMut::from(first.as_ref());
         whole.extend_from_slice(&second);
-        while let Some(part) = self.next_part(&mut body).await? {
-            whole.extend_from_slice(&part);
+        while let Some(chunk) = self.next_chunk(&mut body).await? {
+            whole.extend_from_slice(&chunk);
         }
         Ok(whole.freeze())
     }
 
-    async fn next_part(&self, body: &mut Limited<Incoming>) -> Result<Option<Bytes>, Refusal> {
+    async fn next_chunk(&self, body: &mut Limited<Incoming>) -> Result<Option<Bytes>, Refusal> {
         let pause_end = Instant::now() + self.idle_timeout;
         let end = pause_end.min(self.deadline);
         let frame = timeout_at(end, body.frame()).await;
         match frame.map_err(|_| self.too_slow(pause_end))? {
             None => Ok(None),
-            // Trailers are not passed on.
+            // Trailers are not forwarded.
             Some(Ok(frame)) => Ok(Some(frame.into_data().unwrap_or_default())),
             Some(Err(error)) if error.is::<LengthLimitError>() => {
-                let detail = format!("body: longer than {} bytes", self.max_bytes);
+                let detail = format!("body is longer than {} bytes", self.max_bytes);
                 Err(Refusal::new(RefusalReason::BodyTooLarge, detail))
             }
             Some(Err(error)) => {
-                let detail = format!("body: {error}");
+                let detail = format!("body could not be read: {error}");
                 Err(Refusal::new(RefusalReason::BodyBroken, detail))
             }
         }
@@ -62,9 +62,12 @@
     fn too_slow(&self, pause_end: Instant) -> Refusal {
         if pause_end <= self.deadline {
             let pause = self.idle_timeout.as_millis();
-            let detail = format!("body: nothing came for {pause} ms");
+            let detail = format!("no data of the body received for {pause} ms");
             return Refusal::new(RefusalReason::BodyTooSlow, detail);
         }
-        Refusal::new(self.late_reason, "body: not whole in time")
+        Refusal::new(
+            self.late_reason,
+            "body incomplete when the time for it ran out",
+        )
     }
 }
--- a/crates/gateway/src/serve/connection_server.rs
+++ b/crates/gateway/src/serve/connection_server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Serves the connections of callers.
 
 use std::rc::Rc;
 
@@ -14,16 +14,17 @@
 };
 use crate::gateway::Gateway;
 
-/// Smallest read buffer that the library allows.
+/// Minimum size of the read buffer that hyper allows.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Accepts connections of callers and serves their requests, until dropped.
+/// Accepts connections of callers and serves their requests until dropped, within the callers' share of file
+/// descriptors.
 pub async fn serve_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     let connections = OpenConnections::within(&gateway, DescriptorShare::Callers);
     serve_callers_with(gateway, listener, connections).await;
 }
 
-/// The same with another bound on how many there may be.
+/// Like [`serve_callers`], with the given limit on open connections.
 pub async fn serve_callers_with(
     gateway: Rc<Gateway>,
     listener: TcpListener,
@@ -36,7 +37,7 @@
 }
 
 async fn serve_caller(gateway: Rc<Gateway>, stream: TcpStream, connection: OpenConnection) {
-    // Without it answers only come later.
+    // An error is ignored: without this option answers are delayed but correct.
     let _ = stream.set_nodelay(true);
     let limits = caller_limits(&gateway);
     let mut server = http1::Builder::new();
--- a/crates/gateway/src/serve/engine_list_state.rs
+++ b/crates/gateway/src/serve/engine_list_state.rs
@@ -1,4 +1,4 @@
-//! How good the list of engines was that an engine was chosen from.
+//! How current the engine list was from which an engine was chosen.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::placement::Placement;
 use crate::source::ItemKind;
 
-/// How good this node's list of engines was when a request was sent to one of them.
+/// How current this node's engine list was when a request was sent to one of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display)]
 #[display(
     "revision={},age_ms={},behind={is_behind},unlisted={is_unlisted}",
@@ -18,18 +18,18 @@
     age.map_or(-1, |age| age.as_millis() as i64)
 )]
 pub(super) struct EngineListState {
-    /// Revision of the source that the list has come to.
+    /// Revision of the source that the list reflects.
     revision: Option<u64>,
-    /// How long ago the list was certainly current.
+    /// Time since the list was last confirmed current.
     age: Option<Duration>,
-    /// Whether another node is known to have a newer one.
+    /// Whether another node is known to have a newer list.
     is_behind: bool,
-    /// Whether the entry of the chosen engine has gone and is waited for.
+    /// Whether the entry of the chosen engine has disappeared while the list was unreliable, and is expected to return.
     is_unlisted: bool,
 }
 
 impl EngineListState {
-    /// The state now.
+    /// Reads the current state.
     pub(super) fn now(gateway: &Gateway, placement: &Placement) -> Self {
         let now = gateway.clock().now();
         let state = gateway.state();
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Counts the age; a request that is sent by a list which other nodes know to be old, or which is
-    /// older than engines may take to leave, is told whatever becomes of it.
+    /// Records the age of the list in metrics. Counts and logs the request if the list is outdated: if it is known to
+    /// be behind another node's, or if its age has reached the time within which changes must take effect.
     pub(super) fn note(&self, gateway: &Gateway, request: &AcceptedRequest, placement: &Placement) {
         if let Some(age) = self.age {
             let ages = &gateway.metrics().list_age_seconds;
--- a/crates/gateway/src/serve/graceful_shutdown.rs
+++ b/crates/gateway/src/serve/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Stopping as planned.
+//! Graceful shutdown of a node.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a planned stop goes.
+/// Time limits of a graceful shutdown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShutdownSettings {
-    /// Callers that learnt of this node before are served for so long; then the listener closes.
+    /// Callers that still know this node as available are accepted for this time; then the listener is closed.
     pub accept_grace: Duration,
-    /// The process ends after this time, whatever still runs.
+    /// The shutdown ends after this time, even if requests are still active.
     pub grace: Duration,
 }
 
-/// Stops serving: callers are sent elsewhere at once, what runs is finished.
+/// Stops serving: tells callers at once to use other nodes, and waits until active requests have been answered.
 ///
-/// `accepting` is the task that accepts callers; it ends, with its listener, even while requests
-/// run, since one that came later might be cut at the end of the grace period.
+/// `accepting` is the task that accepts callers' connections. It is aborted, which closes its listener, even while
+/// requests are active, because requests accepted later might be cut off at the end of the grace period.
 pub async fn graceful_shutdown(
     gateway: &Gateway,
     accepting: JoinHandle<()>,
--- a/crates/gateway/src/serve/hop_by_hop_headers.rs
+++ b/crates/gateway/src/serve/hop_by_hop_headers.rs
@@ -1,11 +1,11 @@
-//! Headers that are passed on.
+//! Removal of hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, PROXY_AUTHENTICATE,
     PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers that concern one connection only, or that the library sets.
+/// Hop-by-hop headers, and headers that hyper sets itself.
 const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -20,7 +20,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Removes headers that concern one connection only, and those that `Connection` names.
+/// Removes all headers that must not be forwarded, including those named in `Connection`.
 pub(super) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let mut named: Vec<HeaderName> = Vec::new();
     for value in headers.get_all(CONNECTION) {
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -1,4 +1,4 @@
-//! An answer whose head has been accepted.
+//! An engine's answer whose head has been accepted.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::request::AnswerFacts;
 use crate::upstream::Connection;
 
-/// Longest answer that is not a stream.
+/// Maximum size of an answer that is not a stream.
 const MAX_WHOLE_BYTES: usize = 8 * 1_024 * 1_024;
 
-/// An answer of an engine whose head has been accepted.
+/// An engine's answer whose head has been accepted, and whose body is still to be read.
 #[derive(Debug)]
 pub(super) struct LiveAnswer {
     pub(super) status: StatusCode,
@@ -29,9 +29,9 @@
     pub(super) body: Incoming,
     pub(super) placement: Placement,
     pub(super) in_flight: InFlight,
-    /// How it ends is told.
+    /// Reports how the answer ends.
     pub(super) reporter: AnswerReporter,
-    /// From the attempt's begin to the head.
+    /// Time from sending the request to the arrival of the head.
     pub(super) time_to_head: Duration,
     connection: Connection,
     is_connection_reusable: bool,
@@ -63,11 +63,8 @@
         }
     }
 
-    /// Reads the rest of an answer that is not a stream, and keeps the connection.
-    pub(super) async fn read_complete(
-        mut self,
-        gateway: &Gateway,
-    ) -> Result<CompleteAnswer, String> {
+    /// Reads the body of an answer that is not a stream, and returns the connection to the pool.
+    pub(super) async fn read_whole(mut self, gateway: &Gateway) -> Result<WholeAnswer, String> {
         let body = Limited::new(&mut self.body, MAX_WHOLE_BYTES);
         let collected = body.collect().await;
         self.reporter.end(match &collected {
@@ -79,7 +76,7 @@
         let bytes = collected.map_err(|error| error.to_string())?.to_bytes();
         let (status, headers) = (self.status, std::mem::take(&mut self.headers));
         let placement = self.release(gateway);
-        Ok(CompleteAnswer {
+        Ok(WholeAnswer {
             status,
             headers,
             bytes,
@@ -87,12 +84,12 @@
         })
     }
 
-    /// A part of the answer has come.
+    /// Records on the connection that a part of the answer has arrived.
     pub(super) fn note_heard(&self, gateway: &Gateway) {
         gateway.upstream().note_heard(&self.connection);
     }
 
-    /// Keeps the connection of an answer that was read to its end.
+    /// Returns the connection to the pool after the answer has been read to its end.
     pub(super) fn release(self, gateway: &Gateway) -> Placement {
         if self.is_connection_reusable && gateway.is_in_life_of(&self.placement) {
             let engine = &self.placement.engine;
@@ -104,15 +101,16 @@
     }
 }
 
-/// An answer that was read to its end.
+/// An answer that has been read to its end.
 #[derive(Debug)]
-pub(super) struct CompleteAnswer {
+pub(super) struct WholeAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) bytes: Bytes,
     pub(super) placement: Placement,
 }
 
+/// Whether the engine closes the connection after this answer.
 fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(hyper::header::CONNECTION);
     let mut texts = values.iter().filter_map(|value| value.to_str().ok());
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! The life of a request: intake, attempts, answer.
+//! Serves callers' requests: accepts them, forwards them to engines, and relays the answers.
 
 mod accept;
 mod accepted_request;
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -1,4 +1,4 @@
-//! All attempts of one request.
+//! Forwards one request to engines, with retries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::accepted_request::AcceptedRequest;
 use super::attempt::{apply_attempt_error, attempt};
 use super::attempt_error::AttemptError;
-use super::live_answer::{CompleteAnswer, LiveAnswer};
+use super::live_answer::{LiveAnswer, WholeAnswer};
 use super::request_phase::RequestPhase;
 use super::request_progress::RequestProgress;
 use super::silence_cause::SilenceCause;
@@ -24,37 +24,40 @@
 use crate::poison::Run;
 use crate::request::{Refusal, RefusalReason};
 
-/// When to come back when no engine takes work.
+/// Retry-after time when no engine accepts requests.
 const NO_ENGINE_RETRY: Duration = Duration::from_millis(400);
-/// When to come back when engines had no room.
+/// Retry-after time when engines refused the request or could not be reached, or the retry budget is spent.
 const NO_ROOM_RETRY: Duration = Duration::from_millis(250);
 
-/// The answer of an engine as far as it must be known before the caller gets its head.
+/// The part of an engine's answer that must be received before the caller is sent the head.
 pub(super) enum FirstAnswer {
-    Whole(Box<CompleteAnswer>),
+    /// All of an answer that is not a stream, or not a successful one.
+    Whole(Box<WholeAnswer>),
+    /// The head of a stream.
     Stream(Box<LiveAnswer>),
 }
 
-/// All attempts of one request.
+/// Forwards one request to engines, making further attempts where the request may run again.
 pub(super) struct RequestForwarder {
     pub(super) gateway: Rc<Gateway>,
     pub(super) request: AcceptedRequest,
-    /// What is told if it ends unserved.
+    /// How far the request has come, for the log.
     pub(super) progress: Rc<RequestProgress>,
-    /// Back ends that got it, or could not be reached.
+    /// Engines to which an attempt was made, including those that could not be reached.
     tried: Vec<BackEndName>,
-    /// How many back ends it arrived at.
+    /// Number of attempts that reached an engine.
     pub(super) arrivals: u32,
+    /// Whether an earlier attempt may have run the request.
     pub(super) may_have_run: bool,
-    /// Whether the next attempt has been taken from the budget already.
+    /// Whether the next attempt has already been charged to the retry budget.
     is_retry_prepaid: bool,
-    /// Whether it is tried while it is held back.
+    /// Whether the request is blocked, and runs as a trial that shows whether it still crashes its engine.
     is_trial: bool,
-    /// The back end whose connection was given up last: on a new one it may serve.
+    /// Engine of the last attempt, if that was given up because of silence: over a new connection it may answer.
     silent_engine: Option<BackEndName>,
-    /// Whether an engine began to answer.
+    /// Whether an engine has begun to answer.
     has_answer_begun: bool,
-    /// When the last attempt began.
+    /// When the last attempt started.
     attempt_started_at: Timestamp,
 }
 
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Makes attempts until there is an answer for the caller.
+    /// Makes attempts until an answer can be sent to the caller: a complete one, or the head of a stream.
     pub(super) async fn first_answer(&mut self) -> Result<FirstAnswer, Refusal> {
         let last_event_id = self.request.caller.last_event_id.clone();
         loop {
@@ -90,7 +93,7 @@
             }
             let placement = live.placement.clone();
             let gateway = Rc::clone(&self.gateway);
-            match live.read_complete(&gateway).await {
+            match live.read_whole(&gateway).await {
                 Ok(whole) if whole.status.is_server_error() && self.may_retry() => {
                     let error = AttemptError::EngineError(whole.status.as_u16());
                     self.note_failure(&placement, &error);
@@ -113,14 +116,15 @@
         }
     }
 
-    /// Makes attempts until an engine begins a usable answer.
+    /// Makes attempts until an engine sends the head of a usable answer.
     pub(super) async fn next_answer(
         &mut self,
         last_event_id: Option<&str>,
     ) -> Result<LiveAnswer, Refusal> {
         loop {
-            // One that ends its engines comes again under other ids and at other nodes, where neither its attempts nor
-            // the retry budget count: only what all nodes know of it keeps it from the next engine.
+            // Callers send a request that crashes engines again under other ids and to other nodes, where its earlier
+            // attempts count neither against its maximum nor against the retry budget. Only the crash history that all
+            // nodes share keeps it from the next engine.
             let is_known = self.gateway.knows_poison(&self.request).await;
             if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
                 return Err(self.poison_refusal(NO_ENGINE_RETRY));
@@ -166,8 +170,8 @@
                     self.is_retry_prepaid = matches!(error, AttemptError::Silent(_));
                     self.note_failure(&placement, &error);
                     let is_last = self.arrivals >= self.request.route.max_attempts;
-                    let is_over = self.may_have_run && !self.request.route.is_idempotent();
-                    if is_last || is_over {
+                    let must_not_repeat = self.may_have_run && !self.request.route.is_idempotent();
+                    if is_last || must_not_repeat {
                         return Err(self.failure_refusal(&error));
                     }
                 }
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Whether the request may be sent to an engine now. A trial that has run at none is still to be made.
+    /// Whether the request may be sent to an engine now. A trial that has started may go on until it has run.
     fn verdict(&self) -> Verdict {
         match self.is_trial && !self.may_have_run {
             true => Verdict::Trial,
@@ -183,8 +187,8 @@
         }
     }
 
-    /// Makes an attempt. It is given up when nothing comes for longer than answers take, while the
-    /// request can go elsewhere; otherwise it is waited for, since an answer may still come.
+    /// Makes an attempt, and gives it up when no answer comes for longer than usual and the request can be sent again.
+    /// When it can't, waits on, since an answer may still come.
     async fn attempt_until_silent(
         &self,
         placement: &Placement,
@@ -196,15 +200,15 @@
         if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.max_attempts {
             return attempt.await;
         }
-        let part = AwaitedPart::Head;
-        let detector = SilenceDetector::new(gateway, request, &placement.engine, part, since);
+        let phase = AwaitedPart::Head;
+        let detector = SilenceDetector::new(gateway, request, &placement.engine, phase, since);
         let Some(detector) = detector else {
             return attempt.await;
         };
         let attempted = tokio::select! {
             biased;
             attempted = attempt => attempted,
-            why = self.until_given_up(&detector) => Err(self.give_up(placement, &detector, part, why)),
+            why = self.until_given_up(&detector) => Err(self.give_up(placement, &detector, phase, why)),
         };
         if attempted.is_ok() && self.progress.is_overdue.get() {
             info!(gateway.log(), "doubted_attempt_answered"; "request" => &request.caller.id,
@@ -214,6 +218,7 @@
         attempted
     }
 
+    /// Waits until the current attempt is to be given up.
     async fn until_given_up(&self, detector: &SilenceDetector) -> SilenceCause {
         let clock = self.gateway.clock();
         loop {
@@ -224,7 +229,8 @@
         }
     }
 
-    /// Why a silent attempt is given up now, and its successor is paid for.
+    /// Decides whether a silent attempt is given up now. If so, charges the next attempt to the retry budget, and
+    /// returns the suspected cause of the silence.
     pub(super) fn reason_to_give_up(&self, detector: &SilenceDetector) -> Option<SilenceCause> {
         let why = detector.detect(&self.gateway, self.progress.connection_use.get())?;
         let has_successor =
@@ -240,12 +246,13 @@
         None
     }
 
-    /// An attempt is given up: neither its connection nor those as old are believed any longer.
+    /// Gives up a silent attempt. Idle connections to the engine that have received nothing since the silence began are
+    /// closed, since they may be broken too.
     pub(super) fn give_up(
         &self,
         placement: &Placement,
         detector: &SilenceDetector,
-        part: AwaitedPart,
+        phase: AwaitedPart,
         why: SilenceCause,
     ) -> AttemptError {
         let gateway = &self.gateway;
@@ -254,21 +261,22 @@
             .upstream()
             .note_silent(&placement.engine, detector.since);
         let (pool, route) = (&self.request.pool, &self.request.route.name);
-        // It takes at least so long; when all become slow, this raises the limit.
+        // The answer takes at least this long. If all answers become slower, these values raise the limit.
         let times = &mut gateway.state_mut().part_times;
-        times.note(pool, route, part, silent);
+        times.note(pool, route, phase, silent);
         warn!(gateway.log(), "attempt_given_up"; "request" => &self.request.caller.id,
-            "engine" => %placement.engine, "why" => %why, "awaited" => ?part,
+            "engine" => %placement.engine, "why" => %why, "awaited" => ?phase,
             "connection" => self.progress.connection_use.get().map(|used| used.to_string()),
             "silent_ms" => silent.as_millis() as u64);
         AttemptError::Silent(why)
     }
 
-    fn has_other_engine(&self, than: &BackEndName) -> bool {
+    /// Whether an engine other than `current` that has not been tried could be sent the request now.
+    fn has_other_engine(&self, current: &BackEndName) -> bool {
         let now = self.gateway.clock().now();
         let (pool, id) = (&self.request.pool, &self.request.caller.id);
         let mut tried = self.tried.clone();
-        tried.push(than.clone());
+        tried.push(current.clone());
         let admission = self.gateway.admission(pool, id, &tried);
         let state = self.gateway.state();
         let mut engines = state.engines.of_pool(pool);
@@ -279,27 +287,33 @@
         })
     }
 
-    /// Whether a request that may have run may be sent to another back end.
+    /// Whether a request that may have run may be sent to an engine again.
     pub(super) fn may_retry(&self) -> bool {
         let route = &self.request.route;
         route.is_idempotent() && self.arrivals < route.max_attempts
     }
 
-    /// The answer when the time has run out.
+    /// The refusal after the request's deadline has passed.
     pub(super) fn deadline_refusal(&self) -> Refusal {
-        // An attempt that was cut short may have written the request once it had a connection, and an
-        // engine that answered its head may go on.
+        // An attempt that was cut off may have sent the request once it had a connection, and an engine that has sent
+        // the head of an answer may still be running the request.
         let may_run = self.progress.may_have_run() || self.has_answer_begun;
         match may_run {
-            false => Refusal::new(RefusalReason::DeadlineNotRun, "no engine in time")
-                .with_retry_after(NO_ENGINE_RETRY),
-            true => Refusal::new(RefusalReason::DeadlineMayHaveRun, "no answer in time"),
+            false => Refusal::new(
+                RefusalReason::DeadlineNotRun,
+                "deadline reached before an engine ran the request",
+            )
+            .with_retry_after(NO_ENGINE_RETRY),
+            true => Refusal::new(
+                RefusalReason::DeadlineMayHaveRun,
+                "deadline reached before an engine answered",
+            ),
         }
     }
 
-    /// An attempt ended badly.
+    /// Records an attempt without a usable answer, and logs it.
     pub(super) fn note_failure(&mut self, placement: &Placement, error: &AttemptError) {
-        // One that was given up before it had a connection has written nothing.
+        // An attempt that was given up before it had a connection has sent nothing.
         let had_connection = self.progress.connection_use.get().is_some();
         self.may_have_run |= had_connection && error.may_have_run();
         if matches!(error, AttemptError::Broken(_)) {
@@ -333,12 +347,12 @@
             "list" => %self.progress.engine_list.get());
     }
 
-    /// An attempt ended well.
+    /// Records an attempt whose answer was received completely.
     pub(super) fn note_success(&self, placement: &Placement) {
-        let is_in_life = self.gateway.is_in_life_of(placement);
+        let is_same_incarnation = self.gateway.is_in_life_of(placement);
         let mut state = self.gateway.state_mut();
         let engine = state.engines.get_mut(&placement.engine);
-        if let Some(engine) = engine.filter(|_| is_in_life) {
+        if let Some(engine) = engine.filter(|_| is_same_incarnation) {
             engine.health.answered();
         }
         drop(state);
@@ -346,8 +360,8 @@
         attempts.with_label_values(&["answered"]).inc();
     }
 
-    /// Chooses an engine that was not tried; if there is none, the one whose connection fell silent
-    /// gets the request on a new one.
+    /// Chooses an engine that has not been tried. If there is none, chooses the one whose last attempt was given up
+    /// because of silence, since it may answer over a new connection.
     fn place(&self, verdict: Verdict) -> Option<Placement> {
         let elsewhere = match verdict {
             Verdict::Trial => self.place_trial(),
@@ -361,7 +375,8 @@
         })
     }
 
-    /// At an engine that has ended a trial tells nothing, and how often it may be made is bounded: it waits for another one.
+    /// Chooses an engine for a trial. Engines that have crashed recently are excluded: a trial on them would show
+    /// nothing, and the number of trials is limited.
     fn place_trial(&self) -> Option<Placement> {
         let mut avoided = self.gateway.ended_engines(&self.request.pool);
         avoided.extend(self.tried.iter().cloned());
@@ -382,34 +397,38 @@
         })
     }
 
+    /// The refusal when no engine can be chosen.
     fn no_engine_refusal(&self) -> Refusal {
         if self.may_have_run {
-            return Refusal::new(RefusalReason::MayHaveRun, "no other engine");
+            return Refusal::new(RefusalReason::MayHaveRun, "no other engine for a retry");
         }
         let pool = &self.request.pool;
         let detail = match self.gateway.barred_engines(pool) {
-            Some(barred) => format!("pool '{pool}': no engine takes work ({barred})"),
-            None => format!("pool '{pool}': no engine takes work"),
+            Some(barred) => format!("no engine of pool '{pool}' accepts requests ({barred})"),
+            None => format!("no engine of pool '{pool}' accepts requests"),
         };
         Refusal::new(RefusalReason::NoEngine, detail)
             .with_retry_after(self.retry_after(NO_ENGINE_RETRY))
     }
 
-    /// It is not sent on, so that callers learn that at once, and when another try may be of use.
+    /// The refusal of a request that is sent to no further engine because engines have crashed under it. The caller
+    /// learns at once when a retry may help.
     fn poison_refusal(&self, retry_after: Duration) -> Refusal {
-        let detail = "engines have ended under it";
+        let detail = "engines have crashed while running this request";
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, detail);
         }
         Refusal::new(RefusalReason::CrashesEngines, detail).with_retry_after(retry_after)
     }
 
-    /// When to come back: once an engine may be sent something again, where all of them say when.
+    /// The time until the first excluded engine of the pool may be sent requests again, if it is known and longer than
+    /// `otherwise`; else `otherwise`.
     fn retry_after(&self, otherwise: Duration) -> Duration {
         let opening = self.gateway.next_opening(&self.request.pool);
         opening.map_or(otherwise, |opening| opening.max(otherwise))
     }
 
+    /// The refusal when the retry budget allows no further attempt.
     fn budget_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, "retry budget spent");
@@ -417,6 +436,7 @@
         Refusal::new(RefusalReason::NotRun, "retry budget spent").with_retry_after(NO_ROOM_RETRY)
     }
 
+    /// The refusal after the last attempt has failed with `error`.
     fn failure_refusal(&self, error: &AttemptError) -> Refusal {
         if self.may_have_run {
             return Refusal::new(RefusalReason::MayHaveRun, error.to_string());
--- a/crates/gateway/src/serve/request_phase.rs
+++ b/crates/gateway/src/serve/request_phase.rs
@@ -1,42 +1,42 @@
-//! Where a request was held.
+//! Phases of a request.
 
 use derive_more::Display;
 
 use super::attempt_error::AttemptError;
 use crate::upstream::ConnectionUse;
 
-/// Where a request was held last; see docs/design/accounting.md.
+/// The phase that a request is in, or was in when it ended; see docs/design/accounting.md.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display)]
 pub(super) enum RequestPhase {
-    /// In this node: its body was read, its engine chosen.
+    /// In this node: its body is being read or its engine chosen.
     #[default]
     #[display("own_node")]
     OwnNode,
-    /// A connection to an engine was being opened.
+    /// A connection to an engine is being opened.
     #[display("connecting")]
     Connecting,
-    /// It was sent on a kept connection, and no answer came.
+    /// It was sent over a reused connection, and no answer has come.
     #[display("silent_kept")]
     SilentKept,
-    /// It was sent on a new connection, and no answer came.
+    /// It was sent over a new connection, and no answer has come.
     #[display("silent_new")]
     SilentNew,
-    /// The stream has begun.
+    /// Events of its stream are being forwarded.
     #[display("stream")]
     Stream,
-    /// Its engine could not be reached, or broke the connection off.
+    /// Its engine could not be reached, broke the connection off, or sent an unusable answer.
     #[display("engine_gone")]
     EngineGone,
-    /// Its engine answered with an error.
+    /// Its engine answered with a server error.
     #[display("engine_failed")]
     EngineFailed,
-    /// Engines did not take it.
+    /// Engines refused it.
     #[display("no_room")]
     NoRoom,
 }
 
 impl RequestPhase {
-    /// While an attempt waits for its answer.
+    /// The phase while an attempt waits for its answer.
     pub(super) fn waiting(connection_use: Option<ConnectionUse>) -> Self {
         match connection_use {
             None => Self::Connecting,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// After an attempt that ended without a usable answer.
+    /// The phase after an attempt without a usable answer.
     pub(super) fn after(error: &AttemptError, connection_use: Option<ConnectionUse>) -> Self {
         match error {
             AttemptError::Silent(_) => Self::waiting(connection_use),
--- a/crates/gateway/src/serve/request_progress.rs
+++ b/crates/gateway/src/serve/request_progress.rs
@@ -1,4 +1,4 @@
-//! What is known of a request while it is held.
+//! How far a request has come.
 
 use std::cell::{Cell, RefCell};
 
@@ -7,20 +7,20 @@
 use super::request_phase::RequestPhase;
 use crate::upstream::ConnectionUse;
 
-/// What is known of a request while it is held, for the line that tells of one that ends unserved;
-/// see docs/design/accounting.md.
+/// How far a request has come, for the log line about a request that ends unserved; see docs/design/accounting.md.
 #[derive(Debug, Default)]
 pub(super) struct RequestProgress {
-    /// Where it was held last; `None` while an attempt is under way.
+    /// Phase of the request while no attempt waits for its answer.
     phase: Cell<RequestPhase>,
+    /// Whether an attempt waits for its answer.
     is_waiting: Cell<bool>,
-    /// The connection that the attempt under way uses, once there is one.
+    /// The kind of connection that the current attempt uses, once it has one.
     pub(super) connection_use: Cell<Option<ConnectionUse>>,
-    /// The list of engines when the last attempt began.
+    /// State of the engine list when the last attempt started.
     pub(super) engine_list: Cell<EngineListState>,
-    /// Whether the attempt under way was doubted, but not given up.
+    /// Whether the current attempt has been silent for longer than usual, but was not given up.
     pub(super) is_overdue: Cell<bool>,
-    /// Its kind, once its route is known.
+    /// Kind of the request, once its route is known.
     pub(super) kind: Cell<Option<&'static str>>,
     pub(super) route: RefCell<String>,
     pub(super) attempts_left: Cell<u32>,
@@ -28,27 +28,27 @@
 }
 
 impl RequestProgress {
-    /// Its route is known.
+    /// Records the route of the request.
     pub(super) fn note_accepted(&self, request: &AcceptedRequest) {
         self.kind.set(Some(request.kind_label()));
         self.route.replace(request.route.name.clone());
         self.attempts_left.set(request.route.max_attempts);
     }
 
-    /// An attempt begins.
+    /// Records that an attempt starts.
     pub(super) fn begin_attempt(&self) {
         self.connection_use.set(None);
         self.is_overdue.set(false);
         self.is_waiting.set(true);
     }
 
-    /// No attempt waits for its answer any more.
+    /// Records the phase in which the request is now that no attempt waits for its answer.
     pub(super) fn set_phase(&self, phase: RequestPhase) {
         self.is_waiting.set(false);
         self.phase.set(phase);
     }
 
-    /// Where it is held.
+    /// The current phase.
     pub(super) fn phase(&self) -> RequestPhase {
         match self.is_waiting.get() {
             true => RequestPhase::waiting(self.connection_use.get()),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether it may have run: an attempt under way whose end is not known may have, too.
+    /// Whether the request may have run, which includes a current attempt that has a connection.
     pub(super) fn may_have_run(&self) -> bool {
         let is_sent = self.is_waiting.get() && self.connection_use.get().is_some();
         is_sent || self.may_have_run.get()
--- a/crates/gateway/src/serve/respond.rs
+++ b/crates/gateway/src/serve/respond.rs
@@ -1,4 +1,4 @@
-//! Answering a request.
+//! Answers callers' requests.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 use super::accept::accept;
 use super::active_request::ActiveRequest;
 use super::answer_body::AnswerBody;
-use super::live_answer::CompleteAnswer;
+use super::live_answer::WholeAnswer;
 use super::request_forwarder::{FirstAnswer, RequestForwarder};
 use super::request_phase::RequestPhase;
 use super::stream_relay::StreamRelay;
 use crate::gateway::Gateway;
 use crate::request::{CallerRequest, Refusal, RefusalReason};
 
-/// Answers a request; every path ends in exactly one answer.
+/// Answers a request. Every path ends in exactly one answer.
 pub(super) async fn respond(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
@@ -75,7 +75,7 @@
 fn end_whole(
     forwarder: &RequestForwarder,
     active: &ActiveRequest,
-    whole: CompleteAnswer,
+    whole: WholeAnswer,
 ) -> Response<AnswerBody> {
     let gateway = &forwarder.gateway;
     end_answered(active, whole.status);
@@ -116,7 +116,7 @@
     let is_unserved = !refusal.status().is_client_error();
     match is_unserved {
         true => active.end_unserved(&reason),
-        // The caller's fault, or its limit: no engine was to be asked.
+        // The caller's fault, or its limit: the request was not meant to reach an engine.
         false => active.end(&reason),
     }
     log_refusal(gateway, id, refusal, active.elapsed_ms());
@@ -133,7 +133,7 @@
         "after_ms" => after_ms);
 }
 
-/// The answer of the gateway's own.
+/// Builds the answer to a request that the gateway refuses.
 fn refuse(gateway: &Gateway, id: Option<&str>, refusal: &Refusal) -> Response<AnswerBody> {
     let body = serde_json::json!({
         "error": refusal.reason.to_string(),
--- a/crates/gateway/src/serve/silence_cause.rs
+++ b/crates/gateway/src/serve/silence_cause.rs
@@ -1,14 +1,14 @@
-//! What is doubted when nothing comes.
+//! The suspected cause of an engine's silence.
 
 use derive_more::Display;
 
-/// What is doubted when nothing comes for longer than answers take.
+/// The suspected cause when no part of an answer comes for longer than usual.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(super) enum SilenceCause {
-    /// The engine answers what was sent later, so only this connection is silent.
-    #[display("connection: engine answers what was sent later")]
+    /// Only this connection: the engine has answered requests that were sent later.
+    #[display("connection: engine has answered later requests")]
     Connection,
-    /// Nothing is heard of the engine either.
-    #[display("engine: no news on a kept connection")]
+    /// The engine, which has not answered later requests either. The silent connection is a reused one.
+    #[display("engine: no answer on a reused connection")]
     Engine,
 }
--- a/crates/gateway/src/serve/silence_detector.rs
+++ b/crates/gateway/src/serve/silence_detector.rs
@@ -1,4 +1,4 @@
-//! How long silence is believed to be work.
+//! Detects attempts whose silence is unlikely to be work of the engine.
 
 use std::time::Duration;
 
@@ -11,33 +11,36 @@
 use crate::gateway::Gateway;
 use crate::upstream::ConnectionUse;
 
-/// How often it is asked again whether a silence that is long enough has become certain: news of the
-/// engine come with any answer, so this adds to the wait, and wakes only requests that are late.
+/// Interval between checks of a silence that has exceeded its first limit. Any answer of the engine may change the
+/// outcome, so the interval delays the decision by up to its length; it wakes only requests that are late.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long silence on a connection is believed to be work of its engine, as known when it began;
-/// see docs/design/accounting.md.
+/// Decides when silence on a connection no longer counts as work of the engine, by limits learnt before the silence
+/// began; see docs/design/accounting.md.
 #[derive(Debug, Clone)]
 pub(super) struct SilenceDetector {
+    /// The engine whose answer is awaited.
     pub(super) engine: BackEndName,
     /// When the silence began.
     pub(super) since: Timestamp,
+    /// Maximum silence while the engine answers requests that were sent later.
     limit_with_later_answers: Duration,
+    /// Maximum silence on a reused connection while the engine answers no later requests.
     limit_without_answers: Duration,
 }
 
 impl SilenceDetector {
-    /// `None` before enough answers were seen.
+    /// Starts at `since`; `None` before enough answers have been seen to know the limits.
     pub(super) fn new(
         gateway: &Gateway,
         request: &AcceptedRequest,
         engine: &BackEndName,
-        part: AwaitedPart,
+        phase: AwaitedPart,
         since: Timestamp,
     ) -> Option<Self> {
         let state = gateway.state();
         let times = &state.part_times;
-        let estimate = times.estimate(&request.pool, &request.route.name, part)?;
+        let estimate = times.estimate(&request.pool, &request.route.name, phase)?;
         Some(Self {
             engine: engine.clone(),
             since,
@@ -46,16 +49,16 @@
         })
     }
 
-    /// When to ask first, or next.
+    /// When to call [`Self::detect`] next.
     pub(super) fn next_check(&self, now: Timestamp) -> Timestamp {
         let first = self.since.after(self.limit_with_later_answers);
         first.max(now.after(CHECK_INTERVAL))
     }
 
-    /// What is doubted, when the connection is no longer believed to carry an answer, if so.
+    /// Returns the suspected cause if the silence exceeds its limit.
     ///
-    /// An engine that answers what was sent later is not stuck. Without such news only a kept
-    /// connection is doubted, since nothing has proved it since it was idle.
+    /// An engine that answers requests which were sent later is not stuck, so the connection is suspected. Without such
+    /// answers silence is suspicious only on a reused connection, which nothing has shown to work since it was idle.
     pub(super) fn detect(
         &self,
         gateway: &Gateway,
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on.
+//! Relays an engine's stream of events to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,36 +27,36 @@
 use crate::release::AnswerEnd;
 use crate::upstream::ConnectionUse;
 
-/// Passes a stream on, whole event by whole event, and goes on at another engine where it may.
+/// Relays a stream in complete events, and resumes it on another engine after a failure where the request allows that.
 pub(super) struct StreamRelay {
     forwarder: RequestForwarder,
-    /// `None` after the end.
+    /// The engine's answer; `None` after the end of the stream.
     live: Option<LiveAnswer>,
     splitter: EventSplitter,
     last_event_id: Option<String>,
     has_begun: bool,
     resume_count: u32,
-    /// From the arrival of the request to the first event.
+    /// Milliseconds from the arrival of the request to the first event.
     first_event_ms: Option<u64>,
-    /// How long silence is believed now; `None` before enough was seen.
+    /// Detects silence of the engine; `None` before enough answers have been seen.
     detector: Option<SilenceDetector>,
     awaited: AwaitedPart,
     awaited_since: Timestamp,
-    /// From the last attempt's begin to the head of its answer.
+    /// Milliseconds from sending the request to the head of the first engine's answer.
     head_ms: u64,
-    /// From the arrival of the request to the last event so far.
+    /// Milliseconds from the arrival of the request to the latest event.
     last_event_ms: u64,
-    /// Longest time between events.
+    /// Longest time between events, in milliseconds.
     longest_pause_ms: u64,
     active: ActiveRequest,
 }
 
-/// What the engine's side of a stream gave.
+/// What was received from the engine.
 enum Received {
     Bytes(Bytes),
     End,
     Broken(String),
-    /// Nothing for longer than is usual.
+    /// Nothing came for longer than usual, and the attempt is given up.
     Silent(SilenceCause),
 }
 
@@ -84,9 +84,9 @@
         }
     }
 
-    /// The caller's answer: head of the first engine, events as they come.
+    /// Creates the caller's answer, with the head that the first engine sent and the events as they arrive.
     pub(super) fn into_response(mut self) -> Response<AnswerBody> {
-        self.await_part(AwaitedPart::FirstEvent);
+        self.await_phase(AwaitedPart::FirstEvent);
         let live = self.live.as_mut().expect("begins with an answer");
         let (status, headers) = (live.status, std::mem::take(&mut live.headers));
         let events = unfold(self, |mut relay| async move {
@@ -99,7 +99,7 @@
         response
     }
 
-    /// The next events; `None` after the last; an error breaks the caller's connection off.
+    /// The next events; `None` after the last ones. An error closes the caller's connection.
     async fn next(&mut self) -> Option<Result<Bytes, RelayFault>> {
         self.live.as_ref()?;
         let clock = self.forwarder.gateway.clock();
@@ -131,7 +131,7 @@
                 }
                 Received::End if self.splitter.buffered_bytes() == 0 => return Ok(None),
                 Received::End => {
-                    let detail = "ended within an event".to_owned();
+                    let detail = "stream ended within an event".to_owned();
                     self.resume(AttemptError::Broken(detail)).await?;
                 }
                 Received::Broken(detail) => self.resume(AttemptError::Broken(detail)).await?,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// What comes next, and how long it was waited for.
+    /// Receives the next bytes, and reports the time spent waiting for them.
     async fn receive_timed(&mut self) -> Received {
         self.report(AnswerReporter::begin_wait);
         let received = self.receive().await;
@@ -157,12 +157,12 @@
         }
     }
 
-    /// What comes next. A stream that may go on elsewhere is given up when nothing comes for longer
-    /// than is usual while its engine answers what was sent later.
+    /// Receives the next bytes. If the stream may be resumed elsewhere, the engine is given up when nothing comes for
+    /// longer than usual; see [`SilenceDetector::detect`].
     async fn receive(&mut self) -> Received {
         let clock = self.forwarder.gateway.clock();
         if let Some(detector) = &mut self.detector {
-            // A caller that took its time is not the engine's silence.
+            // The time that the caller took to accept the previous events is not silence of the engine.
             detector.since = clock.now();
         }
         loop {
@@ -184,10 +184,11 @@
         }
     }
 
-    /// Another part of the answer is awaited from now on.
-    fn await_part(&mut self, part: AwaitedPart) {
-        self.awaited = part;
-        // Its connection has carried an answer, so that only the engine's news cast doubt on it.
+    /// Starts to wait for another phase of the answer.
+    fn await_phase(&mut self, phase: AwaitedPart) {
+        self.awaited = phase;
+        // The connection has carried the head of the answer, so it counts as new: only answers of the engine to later
+        // requests make it suspect.
         self.forwarder
             .progress
             .connection_use
@@ -197,15 +198,16 @@
         self.awaited_since = now;
         let engine = self.live.as_ref().map(|live| &live.placement.engine);
         self.detector = engine.and_then(|engine| {
-            SilenceDetector::new(&forwarder.gateway, &forwarder.request, engine, part, now)
+            SilenceDetector::new(&forwarder.gateway, &forwarder.request, engine, phase, now)
         });
     }
 
     fn give_up(&self, why: SilenceCause) -> AttemptError {
-        let part = self.awaited;
+        let phase = self.awaited;
         match (&self.live, &self.detector) {
             (Some(live), Some(detector)) => {
-                self.forwarder.give_up(&live.placement, detector, part, why)
+                self.forwarder
+                    .give_up(&live.placement, detector, phase, why)
             }
             _ => AttemptError::Silent(why),
         }
@@ -213,7 +215,7 @@
 
     async fn receive_frame(&mut self) -> Received {
         let Some(live) = &mut self.live else {
-            return Received::Broken("no engine".to_owned());
+            return Received::Broken("no engine is answering".to_owned());
         };
         loop {
             match live.body.frame().await {
@@ -229,14 +231,14 @@
         }
     }
 
-    /// Goes on at another engine after the last event that the caller has.
+    /// Resumes the stream on another engine after the last event that was forwarded to the caller.
     async fn resume(&mut self, error: AttemptError) -> Result<(), RelayFault> {
         let fault = RelayFault {
             detail: error.to_string(),
         };
         self.detector = None;
         self.report(|reporter| reporter.end(error.answer_end()));
-        // The former run ends, with its connection, before another begins.
+        // Dropping the answer closes its connection and ends the former run before another one starts.
         let former = self.live.take().map(|live| live.placement);
         if let Some(placement) = former {
             self.forwarder.note_failure(&placement, &error);
@@ -254,7 +256,7 @@
                     "request" => &self.forwarder.request.caller.id,
                     "engine" => %live.placement.engine, "after_event" => last_event_id);
                 self.live = Some(live);
-                self.await_part(AwaitedPart::FirstEvent);
+                self.await_phase(AwaitedPart::FirstEvent);
                 Ok(())
             }
             Ok(mut live) => {
@@ -272,7 +274,7 @@
         }
     }
 
-    /// The first event of an answer has come.
+    /// Records the arrival of the first event of an engine's answer.
     fn note_first_event(&mut self) {
         if self.awaited != AwaitedPart::FirstEvent {
             return;
@@ -280,17 +282,18 @@
         let gateway = &self.forwarder.gateway;
         let took = gateway.clock().now().since(self.awaited_since);
         self.note_time(AwaitedPart::FirstEvent, took);
-        self.await_part(AwaitedPart::Pause);
+        self.await_phase(AwaitedPart::Pause);
     }
 
-    fn note_time(&self, part: AwaitedPart, took: Duration) {
+    fn note_time(&self, phase: AwaitedPart, took: Duration) {
         let RequestForwarder {
             gateway, request, ..
         } = &self.forwarder;
         let times = &mut gateway.state_mut().part_times;
-        times.note(&request.pool, &request.route.name, part, took);
+        times.note(&request.pool, &request.route.name, phase, took);
     }
 
+    /// Records the arrival of events.
     fn note_events(&mut self) {
         self.note_first_event();
         if self.forwarder.progress.is_overdue.replace(false) {
