--- a/crates/gateway/src/serve/accepted_request.rs
+++ b/crates/gateway/src/serve/accepted_request.rs
@@ -39,7 +39,7 @@
     pub arrived_at: Timestamp,
     /// When the answer must be complete.
     pub deadline: Timestamp,
-    /// Cache of [`Self::digest`], which most requests never need.
+    /// The digest, computed on first use because most requests never need it.
     pub(super) digest: OnceCell<Digest>,
 }
 
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -42,7 +42,7 @@
     progress: &RequestProgress,
 ) -> Result<LiveAnswer, AttemptError> {
     let in_flight = count_in_flight(gateway, request, placement)
-        .ok_or_else(|| AttemptError::NotConnected("engine is no longer listed".to_owned()))?;
+        .ok_or_else(|| AttemptError::NotConnected("engine is gone from the list".to_owned()))?;
     let engine_list = EngineListState::now(gateway, placement);
     engine_list.note(gateway, request, placement);
     progress.engine_list.set(engine_list);
@@ -196,7 +196,7 @@
     let is_unidentified = !facts.has_server_stamp || facts.request_id.is_none();
     if status.is_success() && (is_encoded || is_unidentified) {
         return Err(AttemptError::MayHaveRun(
-            "answer does not come from an engine".to_owned(),
+            "not an engine's answer".to_owned(),
         ));
     }
     Ok(())
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -404,8 +404,8 @@
         }
         let pool = &self.request.pool;
         let detail = match self.gateway.barred_engines(pool) {
-            Some(barred) => format!("no engine of pool '{pool}' accepts requests ({barred})"),
-            None => format!("no engine of pool '{pool}' accepts requests"),
+            Some(barred) => format!("no engine of pool '{pool}' accepts work ({barred})"),
+            None => format!("no engine of pool '{pool}' accepts work"),
         };
         Refusal::new(RefusalReason::NoEngine, detail)
             .with_retry_after(self.retry_after(NO_ENGINE_RETRY))
--- a/crates/gateway/src/serve/request_progress.rs
+++ b/crates/gateway/src/serve/request_progress.rs
@@ -22,8 +22,11 @@
     pub(super) is_overdue: Cell<bool>,
     /// Kind of the request, once its route is known.
     pub(super) kind: Cell<Option<&'static str>>,
+    /// Name of the route, once it is known.
     pub(super) route: RefCell<String>,
+    /// Number of attempts that may still be made.
     pub(super) attempts_left: Cell<u32>,
+    /// Whether an earlier attempt may have run the request.
     pub(super) may_have_run: Cell<bool>,
 }
 
--- a/crates/gateway/src/serve/silence_cause.rs
+++ b/crates/gateway/src/serve/silence_cause.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(super) enum SilenceCause {
     /// Only this connection: the engine has answered requests that were sent later.
-    #[display("connection: engine has answered later requests")]
+    #[display("connection: engine answers requests that were sent later")]
     Connection,
     /// The engine, which has not answered later requests either. The silent connection is a reused one.
-    #[display("engine: no answer on a reused connection")]
+    #[display("engine: no answer on a kept connection")]
     Engine,
 }
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -33,6 +33,7 @@
     /// The engine's answer; `None` after the end of the stream.
     live: Option<LiveAnswer>,
     splitter: EventSplitter,
+    /// Id of the last event that was forwarded to the caller.
     last_event_id: Option<String>,
     has_begun: bool,
     resume_count: u32,
@@ -40,6 +41,7 @@
     first_event_ms: Option<u64>,
     /// Detects silence of the engine; `None` before enough answers have been seen.
     detector: Option<SilenceDetector>,
+    /// The phase of the answer that is awaited.
     awaited: AwaitedPart,
     awaited_since: Timestamp,
     /// Milliseconds from sending the request to the head of the first engine's answer.
@@ -87,7 +89,7 @@
     /// Creates the caller's answer, with the head that the first engine sent and the events as they arrive.
     pub(super) fn into_response(mut self) -> Response<AnswerBody> {
         self.await_phase(AwaitedPart::FirstEvent);
-        let live = self.live.as_mut().expect("begins with an answer");
+        let live = self.live.as_mut().expect("a new relay holds an answer");
         let (status, headers) = (live.status, std::mem::take(&mut live.headers));
         let events = unfold(self, |mut relay| async move {
             let next = relay.next().await?;
