--- a/crates/gateway/src/request/refusal.rs
+++ b/crates/gateway/src/request/refusal.rs
@@ -11,7 +11,7 @@
     /// The node has not received a configuration yet.
     #[display("no_configuration")]
     NoConfiguration,
-    /// The configuration may be out of date, so keys can't be trusted.
+    /// The configuration may be outdated, so API keys can't be checked.
     #[display("configuration_unproven")]
     ConfigurationUnproven,
     /// No route matches the host and path.
--- a/crates/gateway/src/serve/accept.rs
+++ b/crates/gateway/src/serve/accept.rs
@@ -72,8 +72,9 @@
     })
 }
 
-/// Returns a reader with the limits for this body. The body must arrive before the request's timeout, which counts from
-/// the arrival of the head; without a route it must arrive within the time for which a caller may be idle.
+/// Returns a reader with the limits for this body. The body must be complete before the request times out, since it is
+/// of no use later. Without a route the limit is the time for which a caller may be idle. Both times count from the
+/// head.
 fn body_reader(
     gateway: &Gateway,
     caller: &CallerRequest,
--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -18,7 +18,7 @@
 }
 
 impl AnswerReporter {
-    /// Starts with the sending of a request to an engine.
+    /// Creates a reporter when a request is sent to an engine.
     pub(super) fn begin(
         gateway: &Rc<Gateway>,
         request: &AcceptedRequest,
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads the body of an answer that is not a stream, and returns the connection to the pool.
+    /// Reads the body of an answer that is not a stream, and keeps the connection for reuse.
     pub(super) async fn read_whole(mut self, gateway: &Gateway) -> Result<WholeAnswer, String> {
         let body = Limited::new(&mut self.body, MAX_WHOLE_BYTES);
         let collected = body.collect().await;
@@ -89,7 +89,7 @@
         gateway.upstream().note_heard(&self.connection);
     }
 
-    /// Returns the connection to the pool after the answer has been read to its end.
+    /// Keeps the connection for reuse, after the answer has been read to its end.
     pub(super) fn release(self, gateway: &Gateway) -> Placement {
         if self.is_connection_reusable && gateway.is_in_life_of(&self.placement) {
             let engine = &self.placement.engine;
--- a/crates/gateway/src/serve/silence_detector.rs
+++ b/crates/gateway/src/serve/silence_detector.rs
@@ -15,7 +15,7 @@
 /// outcome, so the interval delays the decision by up to its length; it wakes only requests that are late.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Decides when silence on a connection no longer counts as work of the engine, by limits learnt before the silence
+/// Decides when silence on a connection is too long to be work of the engine, by limits that were estimated when it
 /// began; see docs/design/accounting.md.
 #[derive(Debug, Clone)]
 pub(super) struct SilenceDetector {
@@ -30,7 +30,8 @@
 }
 
 impl SilenceDetector {
-    /// Starts at `since`; `None` before enough answers have been seen to know the limits.
+    /// Creates a detector for silence that begins at `since`; `None` before enough answers have been seen to estimate
+    /// the limits.
     pub(super) fn new(
         gateway: &Gateway,
         request: &AcceptedRequest,
