--- a/crates/gateway/src/poison/keeper.rs
+++ b/crates/gateway/src/poison/record_sync.rs
@@ -1,4 +1,4 @@
-//! Keeping the records of requests that are held back.
+//! Reads stored crash histories, and writes new ones to the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use crate::gateway::Gateway;
 use crate::source::{Backoff, Consistency, PoisonStore, RecordWrite, SourceError};
 
-/// Longest time for an answer; the store answers within milliseconds, when it is slow within some hundred.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_000);
-/// Waits after a call that failed.
+/// Timeout of a call to the store, which answers within milliseconds, or within some hundred when it is slow.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pauses after failed calls.
 const BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(200),
     longest: Duration::from_millis(2_400),
 };
 
-/// Reads the records at the start, and writes what this node finds out, until dropped.
+/// Reads the records at startup and writes what this node finds out, until dropped.
 ///
-/// Nodes keep nothing, and all of them may be killed at once. What was proven by engines that ended would have to be
-/// proven again by as many, each time.
-pub fn keep_records(gateway: Rc<Gateway>, store: Rc<dyn PoisonStore>) -> impl Future<Output = ()> {
+/// Nodes have no storage of their own, and all of them may be killed at once. Without the records, each time as many
+/// engines would have to crash again before a request is blocked again.
+pub fn sync_records(gateway: Rc<Gateway>, store: Rc<dyn PoisonStore>) -> impl Future<Output = ()> {
     gateway.expect_poison_records();
     async move {
         tokio::join!(
@@ -31,8 +31,10 @@
     }
 }
 
-/// All nodes may start at once, so the first reading is a stale one, which costs the store little. What was recorded in the
-/// last seconds before that is read when engines end under a request.
+/// Reads the records once from a stale copy, and again linearizably when a request needs them.
+///
+/// All nodes may start at the same time, so the first read is a stale one, which costs the store little. Records of the
+/// last seconds before it are read when engines crash under a request.
 async fn read_records(gateway: &Gateway, store: &dyn PoisonStore) {
     read_until_done(gateway, store, Consistency::Stale).await;
     while !gateway.wants_current_records() {
@@ -44,7 +46,7 @@
 async fn read_until_done(gateway: &Gateway, store: &dyn PoisonStore, consistency: Consistency) {
     let mut failures = 0;
     loop {
-        let listed = timeout(ANSWER_LIMIT, store.list(consistency)).await;
+        let listed = timeout(STORE_TIMEOUT, store.list(consistency)).await;
         match listed.unwrap_or(Err(SourceError::NoAnswer)) {
             Ok(records) => return gateway.take_poison_records(records, consistency),
             Err(error) => {
@@ -60,7 +62,7 @@
 async fn write_records(gateway: &Gateway, store: &dyn PoisonStore) {
     let mut failures = 0;
     loop {
-        remove_outdated(gateway, store).await;
+        remove_records(gateway, store).await;
         let (record, revision) = match gateway.next_poison_record() {
             Ok(next) => next,
             Err(due_at) => {
@@ -73,7 +75,7 @@
             }
         };
         let digest = record.digest();
-        let written = timeout(ANSWER_LIMIT, store.write(&record, revision)).await;
+        let written = timeout(STORE_TIMEOUT, store.write(&record, revision)).await;
         match written.unwrap_or(Err(SourceError::NoAnswer)) {
             Ok(RecordWrite::Written(revision)) => {
                 failures = 0;
@@ -81,7 +83,7 @@
             }
             Ok(RecordWrite::Conflict(stored)) => gateway.note_poison_conflict(digest, stored),
             Err(error @ SourceError::Unreadable { .. }) => {
-                // Another try would meet the same.
+                // A retry would read the same content.
                 warn!(gateway.log(), "poison_record_unreadable"; "digest" => %digest,
                     "revision" => revision, "error" => %error);
                 gateway.note_poison_unwritten(digest, revision, None);
@@ -99,14 +101,15 @@
     }
 }
 
-/// One that is not removed is found by a node that starts later.
-async fn remove_outdated(gateway: &Gateway, store: &dyn PoisonStore) {
+/// Removes the records that are scheduled for removal. A failed removal is not retried: a node that starts later finds
+/// the record and removes it.
+async fn remove_records(gateway: &Gateway, store: &dyn PoisonStore) {
     loop {
-        let outdated = gateway.state_mut().poison_records.take_outdated();
-        let Some((digest, revision)) = outdated else {
+        let removal = gateway.state_mut().poison_records.next_removal();
+        let Some((digest, revision)) = removal else {
             return;
         };
-        let removed = timeout(ANSWER_LIMIT, store.remove(digest, revision)).await;
+        let removed = timeout(STORE_TIMEOUT, store.remove(digest, revision)).await;
         let removed = removed.unwrap_or(Err(SourceError::NoAnswer));
         info!(gateway.log(), "poison_record_removed"; "digest" => %digest, "revision" => revision,
             "error" => removed.err().map(|error| error.to_string()));
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/accept.rs
@@ -1,4 +1,4 @@
-//! Taking a request in: its head, its body, its route and its key.
+//! Accepts a request: reads its body, finds its route and checks the caller's key.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -12,18 +12,19 @@
 
 use super::accepted_request::AcceptedRequest;
 use super::body_reader::BodyReader;
-use super::forwarded_headers::keep_forwarded;
+use super::hop_by_hop_headers::remove_hop_by_hop;
 use crate::catalogue::{Route, RoutingTable, Tenant};
 use crate::gateway::Gateway;
 use crate::request::{CallerRequest, Refusal, RefusalReason};
 
-/// When to come back to a node that has no configuration yet, an unproven one, or one that leads
-/// nowhere: the next one takes about this long to arrive.
-const COME_BACK_AFTER: Duration = Duration::from_millis(300);
-/// The same when this node is cut off: others serve at once, and callers find them.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(50);
+/// Retry-after time while this node has no configuration, an unconfirmed one, or one whose route has no pool: the next
+/// configuration takes about this long to arrive.
+const CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
+/// Retry-after time when the configuration is unconfirmed because this node is isolated: callers find other nodes,
+/// which can serve at once.
+const OTHER_NODE_RETRY: Duration = Duration::from_millis(50);
 
-/// Checks a request whose head has been read, and reads its body.
+/// Reads the body of a request whose head has been parsed, and finds its route, tenant and pool.
 pub(super) async fn accept(
     gateway: &Rc<Gateway>,
     caller: CallerRequest,
@@ -39,18 +40,21 @@
         }
     };
     let table = gateway.state().table.clone().ok_or_else(|| {
-        Refusal::new(RefusalReason::NoConfiguration, "no configuration yet")
-            .with_retry_after(COME_BACK_AFTER)
+        Refusal::new(
+            RefusalReason::NoConfiguration,
+            "no configuration received yet",
+        )
+        .with_retry_after(CONFIGURATION_RETRY)
     })?;
     let route = find_route(&table, &head)?;
     let tenant = find_tenant(gateway, &table, &route, &caller)?;
     let pool = route.pool_of(&caller.id).cloned().ok_or_else(|| {
-        Refusal::new(RefusalReason::NoEngine, "route without a pool")
-            .with_retry_after(COME_BACK_AFTER)
+        Refusal::new(RefusalReason::NoEngine, "route has no pool")
+            .with_retry_after(CONFIGURATION_RETRY)
     })?;
-    let patience = patience(&caller, &route);
+    let timeout = request_timeout(&caller, &route);
     let mut headers = head.headers;
-    keep_forwarded(&mut headers);
+    remove_hop_by_hop(&mut headers);
     let uri = head.uri.path_and_query().cloned();
     Ok(AcceptedRequest {
         caller,
@@ -63,13 +67,14 @@
         route,
         configuration_version: table.version(),
         arrived_at,
-        deadline: arrived_at.after(patience),
+        deadline: arrived_at.after(timeout),
         digest: OnceCell::new(),
     })
 }
 
-/// The bounds of a body. It is of no use after the time that its route gives the request, which
-/// counts from the head; one that leads nowhere has as long as a caller may be idle.
+/// Returns a reader with the limits for this body. The body must be complete before the request times out, since it is
+/// of no use later. Without a route the limit is the time for which a caller may be idle. Both times count from the
+/// head.
 fn body_reader(
     gateway: &Gateway,
     caller: &CallerRequest,
@@ -80,20 +85,24 @@
     let limits = table.as_ref().map(|table| table.limits().clone());
     let limits = limits.unwrap_or_default();
     let route = table.and_then(|table| find_route(&table, head).ok());
-    let (time, late) = match route {
-        Some(route) => (patience(caller, &route), RefusalReason::DeadlineNotRun),
+    let (time, late_reason) = match route {
+        Some(route) => (
+            request_timeout(caller, &route),
+            RefusalReason::DeadlineNotRun,
+        ),
         None => (limits.idle_timeout, RefusalReason::BodyTooSlow),
     };
     BodyReader {
-        most_bytes: limits.body_bytes,
-        longest_pause: limits.idle_timeout,
+        max_bytes: limits.body_bytes,
+        idle_timeout: limits.idle_timeout,
         deadline: gateway.clock().instant(arrived_at.after(time)),
-        late,
+        late_reason,
     }
 }
 
-fn patience(caller: &CallerRequest, route: &Route) -> Duration {
-    caller.patience.unwrap_or(route.timeout).min(route.timeout)
+/// The caller's timeout, limited by that of the route.
+fn request_timeout(caller: &CallerRequest, route: &Route) -> Duration {
+    caller.timeout.unwrap_or(route.timeout).min(route.timeout)
 }
 
 fn find_route(table: &RoutingTable, head: &Parts) -> Result<Rc<Route>, Refusal> {
@@ -101,7 +110,7 @@
     let host = host.or(head.uri.host()).unwrap_or_default();
     let path = head.uri.path();
     table.route(host, path).cloned().ok_or_else(|| {
-        let detail = format!("host '{host}', path '{path}': no such route");
+        let detail = format!("no route for host '{host}' and path '{path}'");
         Refusal::new(RefusalReason::NoRoute, detail)
     })
 }
@@ -120,11 +129,11 @@
         let freshness = gateway.state().freshness();
         if !freshness.is_within(limit, now) {
             let age = freshness.age(now).map_or(0, |age| age.as_millis());
-            let detail = format!("configuration not proven current for {age} ms");
+            let detail = format!("configuration not confirmed current for {age} ms");
             let refusal = Refusal::new(RefusalReason::ConfigurationUnproven, detail);
             let wait = match gateway.is_cut_off() {
-                true => COME_BACK_ELSEWHERE,
-                false => COME_BACK_AFTER,
+                true => OTHER_NODE_RETRY,
+                false => CONFIGURATION_RETRY,
             };
             return Err(refusal.with_retry_after(wait));
         }
@@ -132,8 +141,8 @@
     let tenant = caller.key.as_ref().and_then(|key| table.tenant_of(key));
     tenant.cloned().map(Some).ok_or_else(|| {
         let detail = match caller.key {
-            Some(_) => "key: unknown",
-            None => "key: missing",
+            Some(_) => "API key is unknown",
+            None => "API key is missing",
         };
         Refusal::new(RefusalReason::UnknownKey, detail)
     })
--- a/crates/gateway/src/serve/active_request.rs
+++ b/crates/gateway/src/serve/active_request.rs
@@ -1,4 +1,4 @@
-//! A request in progress, for logs and counts.
+//! Counts and logs requests in progress.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,17 +6,18 @@
 use ryerouter_core::Timestamp;
 use slog::{info, warn};
 
-use super::held_request::HeldRequest;
+use super::request_progress::RequestProgress;
 use crate::gateway::Gateway;
 
-/// Counts a request while it lasts, and logs that its caller left when nothing else ended it.
+/// Counts a request as active until dropped. If it is dropped before the request has ended, the caller has
+/// disconnected, which is logged.
 pub(super) struct ActiveRequest {
     gateway: Rc<Gateway>,
     id: String,
     arrived_at: Timestamp,
     is_ended: Cell<bool>,
-    /// Where it is held.
-    pub(super) held: Rc<HeldRequest>,
+    /// How far the request has come.
+    pub(super) progress: Rc<RequestProgress>,
 }
 
 impl ActiveRequest {
@@ -27,22 +28,23 @@
             id: id.to_owned(),
             arrived_at,
             is_ended: Cell::new(false),
-            held: Rc::default(),
+            progress: Rc::default(),
         }
     }
 
-    /// The request got its final answer.
+    /// Counts the outcome of the request, which has been answered or given up.
     pub(super) fn end(&self, outcome: &str) {
         self.is_ended.set(true);
         let requests = &self.gateway.metrics().requests;
         requests.with_label_values(&[outcome]).inc();
     }
 
-    /// The request ended without a good answer: tells how long it was held, and where.
+    /// Like [`Self::end`], for a request that no engine answered successfully: also records how long it was held and in
+    /// which phase it ended.
     pub(super) fn end_unserved(&self, outcome: &str) {
         self.end(outcome);
-        let held = &self.held;
-        let at = held.at().to_string();
+        let progress = &self.progress;
+        let at = progress.phase().to_string();
         let held_ms = self.elapsed_ms();
         let seconds = held_ms as f64 / 1e3;
         let metric = &self.gateway.metrics().held_seconds;
@@ -53,12 +55,12 @@
         };
         warn!(self.gateway.log(), "request_unserved"; "request" => &self.id,
             "outcome" => outcome, "held_ms" => held_ms, "at" => at,
-            "kind" => held.kind.get(), "route" => held.route.borrow().as_str(),
-            "attempts_left" => held.attempts_left.get(),
-            "may_have_run" => held.may_have_run(), "left_out" => left_out);
+            "kind" => progress.kind.get(), "route" => progress.route.borrow().as_str(),
+            "attempts_left" => progress.attempts_left.get(),
+            "may_have_run" => progress.may_have_run(), "left_out" => left_out);
     }
 
-    /// Milliseconds since its head arrived.
+    /// Milliseconds since the request's head arrived.
     pub(super) fn elapsed_ms(&self) -> u64 {
         let now = self.gateway.clock().now();
         now.since(self.arrived_at).as_millis() as u64
--- a/crates/gateway/src/serve/connection_server.rs
+++ b/crates/gateway/src/serve/connection_server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Serves the connections of callers.
 
 use std::rc::Rc;
 
@@ -14,17 +14,18 @@
 };
 use crate::gateway::Gateway;
 
-/// Smallest read buffer that the library allows.
-const LEAST_BUFFER_BYTES: usize = 8_192;
+/// Minimum size of the read buffer that hyper allows.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Accepts connections of callers and serves their requests, until dropped.
+/// Accepts connections of callers and serves their requests until dropped, within the callers' share of file
+/// descriptors.
 pub async fn serve_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     let connections = OpenConnections::within(&gateway, DescriptorShare::Callers);
-    serve_callers_on(gateway, listener, connections).await;
+    serve_callers_with(gateway, listener, connections).await;
 }
 
-/// The same with another bound on how many there may be.
-pub async fn serve_callers_on(
+/// Like [`serve_callers`], with the given limit on open connections.
+pub async fn serve_callers_with(
     gateway: Rc<Gateway>,
     listener: TcpListener,
     connections: Rc<OpenConnections>,
@@ -36,14 +37,14 @@
 }
 
 async fn serve_caller(gateway: Rc<Gateway>, stream: TcpStream, connection: OpenConnection) {
-    // Without it answers only come later.
+    // An error is ignored: without this option answers are delayed but correct.
     let _ = stream.set_nodelay(true);
     let limits = caller_limits(&gateway);
     let mut server = http1::Builder::new();
     server
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES));
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
     let answer = |request| respond(Rc::clone(&gateway), request);
     serve_connection(connection, stream, server, gateway.left(), answer).await;
 }
--- /dev/null
+++ b/crates/gateway/src/serve/graceful_shutdown.rs
@@ -0,0 +1,46 @@
+//! Graceful shutdown of a node.
+
+use std::time::Duration;
+
+use slog::info;
+use tokio::task::JoinHandle;
+use tokio::time::{Instant, sleep};
+
+use crate::gateway::Gateway;
+
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Time limits of a graceful shutdown.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ShutdownSettings {
+    /// Callers that still know this node as available are accepted for this time; then the listener is closed.
+    pub accept_grace: Duration,
+    /// The shutdown ends after this time, even if requests are still active.
+    pub grace: Duration,
+}
+
+/// Stops serving: tells callers at once to use other nodes, and waits until active requests have been answered.
+///
+/// `accepting` is the task that accepts callers' connections. It is aborted, which closes its listener, even while
+/// requests are active, because requests accepted later might be cut off at the end of the grace period.
+pub async fn graceful_shutdown(
+    gateway: &Gateway,
+    accepting: JoinHandle<()>,
+    settings: &ShutdownSettings,
+) {
+    let began = Instant::now();
+    gateway.leave();
+    let end = began + settings.grace;
+    while Instant::now() < end {
+        if began.elapsed() >= settings.accept_grace {
+            accepting.abort();
+            if gateway.state().active_requests == 0 {
+                break;
+            }
+        }
+        sleep(POLL_INTERVAL).await;
+    }
+    accepting.abort();
+    info!(gateway.log(), "stop"; "active_requests" => gateway.state().active_requests,
+        "after_ms" => began.elapsed().as_millis() as u64);
+}
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -1,4 +1,4 @@
-//! An answer whose head has been accepted.
+//! An engine's answer whose head has been accepted.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use hyper::header::HeaderMap;
 
 use super::answer_reporter::AnswerReporter;
-use super::forwarded_headers::keep_forwarded;
+use super::hop_by_hop_headers::remove_hop_by_hop;
 use crate::engines::InFlight;
 use crate::gateway::Gateway;
 use crate::placement::Placement;
@@ -17,10 +17,10 @@
 use crate::request::AnswerFacts;
 use crate::upstream::Connection;
 
-/// Longest answer that is not a stream.
-const MOST_WHOLE_BYTES: usize = 8 * 1_024 * 1_024;
+/// Maximum size of an answer that is not a stream.
+const MAX_WHOLE_BYTES: usize = 8 * 1_024 * 1_024;
 
-/// An answer of an engine whose head has been accepted.
+/// An engine's answer whose head has been accepted, and whose body is still to be read.
 #[derive(Debug)]
 pub(super) struct LiveAnswer {
     pub(super) status: StatusCode,
@@ -29,12 +29,12 @@
     pub(super) body: Incoming,
     pub(super) placement: Placement,
     pub(super) in_flight: InFlight,
-    /// How it ends is told.
-    pub(super) watched: AnswerReporter,
-    /// From the attempt's begin to the head.
-    pub(super) head_after: Duration,
+    /// Reports how the answer ends.
+    pub(super) reporter: AnswerReporter,
+    /// Time from sending the request to the arrival of the head.
+    pub(super) time_to_head: Duration,
     connection: Connection,
-    keeps_connection: bool,
+    is_connection_reusable: bool,
 }
 
 impl LiveAnswer {
@@ -43,12 +43,12 @@
         facts: AnswerFacts,
         placement: Placement,
         in_flight: InFlight,
-        watched: AnswerReporter,
-        head_after: Duration,
+        reporter: AnswerReporter,
+        time_to_head: Duration,
     ) -> Self {
         let mut headers = answer.head.headers;
-        let keeps_connection = !closes(&headers);
-        keep_forwarded(&mut headers);
+        let is_connection_reusable = !closes_connection(&headers);
+        remove_hop_by_hop(&mut headers);
         Self {
             status: answer.head.status,
             headers,
@@ -56,18 +56,18 @@
             body: answer.body,
             placement,
             in_flight,
-            watched,
-            head_after,
+            reporter,
+            time_to_head,
             connection: answer.connection,
-            keeps_connection,
+            is_connection_reusable,
         }
     }
 
-    /// Reads the rest of an answer that is not a stream, and keeps the connection.
+    /// Reads the body of an answer that is not a stream, and keeps the connection for reuse.
     pub(super) async fn read_whole(mut self, gateway: &Gateway) -> Result<WholeAnswer, String> {
-        let body = Limited::new(&mut self.body, MOST_WHOLE_BYTES);
+        let body = Limited::new(&mut self.body, MAX_WHOLE_BYTES);
         let collected = body.collect().await;
-        self.watched.end(match &collected {
+        self.reporter.end(match &collected {
             Ok(_) if !self.status.is_server_error() => AnswerEnd::Whole {
                 is_success: self.status.is_success(),
             },
@@ -84,14 +84,14 @@
         })
     }
 
-    /// A part of the answer has come.
+    /// Records on the connection that a part of the answer has arrived.
     pub(super) fn note_heard(&self, gateway: &Gateway) {
         gateway.upstream().note_heard(&self.connection);
     }
 
-    /// Keeps the connection of an answer that was read to its end.
+    /// Keeps the connection for reuse, after the answer has been read to its end.
     pub(super) fn release(self, gateway: &Gateway) -> Placement {
-        if self.keeps_connection && gateway.is_in_life_of(&self.placement) {
+        if self.is_connection_reusable && gateway.is_in_life_of(&self.placement) {
             let engine = &self.placement.engine;
             gateway
                 .upstream()
@@ -101,7 +101,7 @@
     }
 }
 
-/// An answer that was read to its end.
+/// An answer that has been read to its end.
 #[derive(Debug)]
 pub(super) struct WholeAnswer {
     pub(super) status: StatusCode,
@@ -110,7 +110,8 @@
     pub(super) placement: Placement,
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+/// Whether the engine closes the connection after this answer.
+fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(hyper::header::CONNECTION);
     let mut texts = values.iter().filter_map(|value| value.to_str().ok());
     texts.any(|text| text.to_ascii_lowercase().contains("close"))
--- /dev/null
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -0,0 +1,447 @@
+//! Forwards one request to engines, with retries.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use ryerouter_core::Timestamp;
+use ryerouter_core::identity::BackEndName;
+use ryerouter_core::poison::Verdict;
+use slog::{info, warn};
+use tokio::time::sleep_until;
+
+use super::accepted_request::AcceptedRequest;
+use super::attempt::{apply_attempt_error, attempt};
+use super::attempt_error::AttemptError;
+use super::live_answer::{LiveAnswer, WholeAnswer};
+use super::request_phase::RequestPhase;
+use super::request_progress::RequestProgress;
+use super::silence_cause::SilenceCause;
+use super::silence_detector::SilenceDetector;
+use crate::catalogue::RequestKind;
+use crate::engines::AwaitedPart;
+use crate::gateway::Gateway;
+use crate::placement::{Placement, PlacementRequest};
+use crate::poison::Run;
+use crate::request::{Refusal, RefusalReason};
+
+/// Retry-after time when no engine accepts requests.
+const NO_ENGINE_RETRY: Duration = Duration::from_millis(400);
+/// Retry-after time when engines refused the request or could not be reached, or the retry budget is spent.
+const NO_ROOM_RETRY: Duration = Duration::from_millis(250);
+
+/// The part of an engine's answer that must be received before the caller is sent the head.
+pub(super) enum FirstAnswer {
+    /// All of an answer that is not a stream, or not a successful one.
+    Whole(Box<WholeAnswer>),
+    /// The head of a stream.
+    Stream(Box<LiveAnswer>),
+}
+
+/// Forwards one request to engines, making further attempts where the request may run again.
+pub(super) struct RequestForwarder {
+    pub(super) gateway: Rc<Gateway>,
+    pub(super) request: AcceptedRequest,
+    /// How far the request has come, for the log.
+    pub(super) progress: Rc<RequestProgress>,
+    /// Engines to which an attempt was made, including those that could not be reached.
+    tried: Vec<BackEndName>,
+    /// Number of attempts that reached an engine.
+    pub(super) arrivals: u32,
+    /// Whether an earlier attempt may have run the request.
+    pub(super) may_have_run: bool,
+    /// Whether the next attempt has already been charged to the retry budget.
+    is_retry_prepaid: bool,
+    /// Whether the request is blocked, and runs as a trial that shows whether it still crashes its engine.
+    is_trial: bool,
+    /// Engine of the last attempt, if that was given up because of silence: over a new connection it may answer.
+    silent_engine: Option<BackEndName>,
+    /// Whether an engine has begun to answer.
+    has_answer_begun: bool,
+    /// When the last attempt started.
+    attempt_started_at: Timestamp,
+}
+
+impl RequestForwarder {
+    pub(super) fn new(
+        gateway: Rc<Gateway>,
+        request: AcceptedRequest,
+        progress: Rc<RequestProgress>,
+    ) -> Self {
+        Self {
+            progress,
+            gateway,
+            request,
+            tried: Vec::new(),
+            arrivals: 0,
+            may_have_run: false,
+            is_retry_prepaid: false,
+            is_trial: false,
+            silent_engine: None,
+            has_answer_begun: false,
+            attempt_started_at: Timestamp::ZERO,
+        }
+    }
+
+    /// Makes attempts until an answer can be sent to the caller: a complete one, or the head of a stream.
+    pub(super) async fn first_answer(&mut self) -> Result<FirstAnswer, Refusal> {
+        let last_event_id = self.request.caller.last_event_id.clone();
+        loop {
+            let live = self.next_answer(last_event_id.as_deref()).await?;
+            let is_stream = self.request.route.kind == RequestKind::Streaming;
+            if is_stream && live.status.is_success() {
+                return Ok(FirstAnswer::Stream(Box::new(live)));
+            }
+            let placement = live.placement.clone();
+            let gateway = Rc::clone(&self.gateway);
+            match live.read_whole(&gateway).await {
+                Ok(whole) if whole.status.is_server_error() && self.may_retry() => {
+                    let error = AttemptError::EngineError(whole.status.as_u16());
+                    self.note_failure(&placement, &error);
+                }
+                Ok(whole) => {
+                    self.note_success(&placement);
+                    if !whole.status.is_server_error() {
+                        self.gateway.note_good_run(&self.request);
+                    }
+                    return Ok(FirstAnswer::Whole(Box::new(whole)));
+                }
+                Err(detail) => {
+                    let error = AttemptError::Broken(detail);
+                    self.note_failure(&placement, &error);
+                    if !self.may_retry() {
+                        return Err(self.failure_refusal(&error));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Makes attempts until an engine sends the head of a usable answer.
+    pub(super) async fn next_answer(
+        &mut self,
+        last_event_id: Option<&str>,
+    ) -> Result<LiveAnswer, Refusal> {
+        loop {
+            // Callers send a request that crashes engines again under other ids and to other nodes, where its earlier
+            // attempts count neither against its maximum nor against the retry budget. Only the crash history that all
+            // nodes share keeps it from the next engine.
+            let is_known = self.gateway.knows_poison(&self.request).await;
+            if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
+                return Err(self.poison_refusal(NO_ENGINE_RETRY));
+            }
+            let verdict = self.verdict();
+            if let Verdict::Refused { retry_after } = verdict {
+                return Err(self.poison_refusal(retry_after));
+            }
+            let placement = self
+                .place(verdict)
+                .ok_or_else(|| self.no_engine_refusal())?;
+            let is_prepaid = std::mem::take(&mut self.is_retry_prepaid) || self.arrivals == 0;
+            if !is_prepaid && !self.gateway.spend_retry(&self.request.pool) {
+                return Err(self.budget_refusal());
+            }
+            let is_trial = verdict == Verdict::Trial;
+            if is_trial && !std::mem::replace(&mut self.is_trial, true) {
+                self.gateway.begin_trial(&self.request).await;
+            }
+            if self.may_have_run && !self.has_answer_begun {
+                self.gateway.charge_again(&self.request);
+            }
+            self.progress.begin_attempt();
+            let left = self.request.route.max_attempts;
+            self.progress
+                .attempts_left
+                .set(left.saturating_sub(self.arrivals + 1));
+            let is_first = self.tried.is_empty();
+            let pool = &self.request.pool;
+            self.gateway.note_sent(pool, &placement, is_first);
+            self.attempt_started_at = self.gateway.clock().now();
+            let attempted = self.attempt_until_silent(&placement, last_event_id).await;
+            match attempted {
+                Ok(live) => {
+                    self.has_answer_begun = true;
+                    self.arrivals += 1;
+                    self.tried.push(placement.engine);
+                    return Ok(live);
+                }
+                Err(error) => {
+                    self.tried.push(placement.engine.clone());
+                    self.arrivals += u32::from(error.reached_engine());
+                    self.is_retry_prepaid = matches!(error, AttemptError::Silent(_));
+                    self.note_failure(&placement, &error);
+                    let is_last = self.arrivals >= self.request.route.max_attempts;
+                    let must_not_repeat = self.may_have_run && !self.request.route.is_idempotent();
+                    if is_last || must_not_repeat {
+                        return Err(self.failure_refusal(&error));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Whether the request may be sent to an engine now. A trial that has started may go on until it has run.
+    fn verdict(&self) -> Verdict {
+        match self.is_trial && !self.may_have_run {
+            true => Verdict::Trial,
+            false => self.gateway.verdict_on(&self.request),
+        }
+    }
+
+    /// Makes an attempt, and gives it up when no answer comes for longer than usual and the request can be sent again.
+    /// When it can't, waits on, since an answer may still come.
+    async fn attempt_until_silent(
+        &self,
+        placement: &Placement,
+        last_event_id: Option<&str>,
+    ) -> Result<LiveAnswer, AttemptError> {
+        let (gateway, request) = (&self.gateway, &self.request);
+        let since = gateway.clock().now();
+        let attempt = attempt(gateway, request, placement, last_event_id, &self.progress);
+        if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.max_attempts {
+            return attempt.await;
+        }
+        let phase = AwaitedPart::Head;
+        let detector = SilenceDetector::new(gateway, request, &placement.engine, phase, since);
+        let Some(detector) = detector else {
+            return attempt.await;
+        };
+        let attempted = tokio::select! {
+            biased;
+            attempted = attempt => attempted,
+            why = self.until_given_up(&detector) => Err(self.give_up(placement, &detector, phase, why)),
+        };
+        if attempted.is_ok() && self.progress.is_overdue.get() {
+            info!(gateway.log(), "doubted_attempt_answered"; "request" => &request.caller.id,
+                "engine" => %placement.engine,
+                "after_ms" => gateway.clock().now().since(since).as_millis() as u64);
+        }
+        attempted
+    }
+
+    /// Waits until the current attempt is to be given up.
+    async fn until_given_up(&self, detector: &SilenceDetector) -> SilenceCause {
+        let clock = self.gateway.clock();
+        loop {
+            sleep_until(clock.instant(detector.next_check(clock.now()))).await;
+            if let Some(why) = self.reason_to_give_up(detector) {
+                return why;
+            }
+        }
+    }
+
+    /// Decides whether a silent attempt is given up now. If so, charges the next attempt to the retry budget, and
+    /// returns the suspected cause of the silence.
+    pub(super) fn reason_to_give_up(&self, detector: &SilenceDetector) -> Option<SilenceCause> {
+        let why = detector.detect(&self.gateway, self.progress.connection_use.get())?;
+        let has_successor =
+            self.has_other_engine(&detector.engine) || detector.has_later_answers(&self.gateway);
+        if has_successor && self.gateway.spend_spare_retry(&self.request.pool) {
+            return Some(why);
+        }
+        if !self.progress.is_overdue.replace(true) {
+            info!(self.gateway.log(), "silent_attempt_kept"; "request" => &self.request.caller.id,
+                "why" => %why, "has_successor" => has_successor,
+                "silent_ms" => self.gateway.clock().now().since(detector.since).as_millis() as u64);
+        }
+        None
+    }
+
+    /// Gives up a silent attempt. Idle connections to the engine that have received nothing since the silence began are
+    /// closed, since they may be broken too.
+    pub(super) fn give_up(
+        &self,
+        placement: &Placement,
+        detector: &SilenceDetector,
+        phase: AwaitedPart,
+        why: SilenceCause,
+    ) -> AttemptError {
+        let gateway = &self.gateway;
+        let silent = gateway.clock().now().since(detector.since);
+        gateway
+            .upstream()
+            .note_silent(&placement.engine, detector.since);
+        let (pool, route) = (&self.request.pool, &self.request.route.name);
+        // The answer takes at least this long. If all answers become slower, these values raise the limit.
+        let times = &mut gateway.state_mut().part_times;
+        times.note(pool, route, phase, silent);
+        warn!(gateway.log(), "attempt_given_up"; "request" => &self.request.caller.id,
+            "engine" => %placement.engine, "why" => %why, "awaited" => ?phase,
+            "connection" => self.progress.connection_use.get().map(|used| used.to_string()),
+            "silent_ms" => silent.as_millis() as u64);
+        AttemptError::Silent(why)
+    }
+
+    /// Whether an engine other than `current` that has not been tried could be sent the request now.
+    fn has_other_engine(&self, current: &BackEndName) -> bool {
+        let now = self.gateway.clock().now();
+        let (pool, id) = (&self.request.pool, &self.request.caller.id);
+        let mut tried = self.tried.clone();
+        tried.push(current.clone());
+        let admission = self.gateway.admission(pool, id, &tried);
+        let state = self.gateway.state();
+        let mut engines = state.engines.of_pool(pool);
+        engines.any(|engine| {
+            let is_tried = tried.contains(&engine.entry.name);
+            let can_serve = engine.takes_work(now) && engine.health.is_serving();
+            !is_tried && can_serve && admission.admits(&engine.entry)
+        })
+    }
+
+    /// Whether a request that may have run may be sent to an engine again.
+    pub(super) fn may_retry(&self) -> bool {
+        let route = &self.request.route;
+        route.is_idempotent() && self.arrivals < route.max_attempts
+    }
+
+    /// The refusal after the request's deadline has passed.
+    pub(super) fn deadline_refusal(&self) -> Refusal {
+        // An attempt that was cut off may have sent the request once it had a connection, and an engine that has sent
+        // the head of an answer may still be running the request.
+        let may_run = self.progress.may_have_run() || self.has_answer_begun;
+        match may_run {
+            false => Refusal::new(
+                RefusalReason::DeadlineNotRun,
+                "deadline reached before an engine ran the request",
+            )
+            .with_retry_after(NO_ENGINE_RETRY),
+            true => Refusal::new(
+                RefusalReason::DeadlineMayHaveRun,
+                "deadline reached before an engine answered",
+            ),
+        }
+    }
+
+    /// Records an attempt without a usable answer, and logs it.
+    pub(super) fn note_failure(&mut self, placement: &Placement, error: &AttemptError) {
+        // An attempt that was given up before it had a connection has sent nothing.
+        let had_connection = self.progress.connection_use.get().is_some();
+        self.may_have_run |= had_connection && error.may_have_run();
+        if matches!(error, AttemptError::Broken(_)) {
+            let run = Run::new(&self.request, placement, self.attempt_started_at);
+            self.gateway.note_broken_run(&run);
+        }
+        self.progress.set_phase(RequestPhase::after(
+            error,
+            self.progress.connection_use.get(),
+        ));
+        let is_silent = matches!(error, AttemptError::Silent(_));
+        self.silent_engine = is_silent.then(|| placement.engine.clone());
+        self.progress.may_have_run.set(self.may_have_run);
+        let left = self
+            .request
+            .route
+            .max_attempts
+            .saturating_sub(self.arrivals);
+        self.progress.attempts_left.set(left);
+        let prompt = self.request.caller.prompt.as_ref();
+        let model = prompt.map(|prompt| prompt.model.as_str());
+        apply_attempt_error(&self.gateway, model, placement, error);
+        let digest = error
+            .may_have_run()
+            .then(|| self.request.digest().to_string());
+        warn!(self.gateway.log(), "attempt_failed"; "request" => &self.request.caller.id,
+            "digest" => digest,
+            "engine" => %placement.engine, "address" => %placement.address,
+            "end" => %error, "weights" => placement.weights, "cost" => %placement.cost,
+            "configuration" => self.request.configuration_version, "arrivals" => self.arrivals,
+            "list" => %self.progress.engine_list.get());
+    }
+
+    /// Records an attempt whose answer was received completely.
+    pub(super) fn note_success(&self, placement: &Placement) {
+        let is_same_incarnation = self.gateway.is_in_life_of(placement);
+        let mut state = self.gateway.state_mut();
+        let engine = state.engines.get_mut(&placement.engine);
+        if let Some(engine) = engine.filter(|_| is_same_incarnation) {
+            engine.health.answered();
+        }
+        drop(state);
+        let attempts = &self.gateway.metrics().attempts;
+        attempts.with_label_values(&["answered"]).inc();
+    }
+
+    /// Chooses an engine that has not been tried. If there is none, chooses the one whose last attempt was given up
+    /// because of silence, since it may answer over a new connection.
+    fn place(&self, verdict: Verdict) -> Option<Placement> {
+        let elsewhere = match verdict {
+            Verdict::Trial => self.place_trial(),
+            _ => self.place_avoiding(&self.tried),
+        };
+        elsewhere.or_else(|| {
+            let silent = self.silent_engine.as_ref()?;
+            let is_other = |engine: &&BackEndName| *engine != silent;
+            let others: Vec<_> = self.tried.iter().filter(is_other).cloned().collect();
+            self.place_avoiding(&others)
+        })
+    }
+
+    /// Chooses an engine for a trial. Engines that have crashed recently are excluded: a trial on them would show
+    /// nothing, and the number of trials is limited.
+    fn place_trial(&self) -> Option<Placement> {
+        let mut avoided = self.gateway.ended_engines(&self.request.pool);
+        avoided.extend(self.tried.iter().cloned());
+        self.place_avoiding(&avoided)
+    }
+
+    fn place_avoiding(&self, tried: &[BackEndName]) -> Option<Placement> {
+        let request = &self.request;
+        let isolated = request.tenant.as_ref().filter(|tenant| tenant.is_isolated);
+        self.gateway.choose(&PlacementRequest {
+            id: &request.caller.id,
+            pool: &request.pool,
+            prompt: request.caller.prompt.as_ref(),
+            isolated_tenant: isolated.map(|tenant| &tenant.name),
+            target_latency: request.route.target_latency,
+            body_bytes: request.body.len(),
+            tried,
+        })
+    }
+
+    /// The refusal when no engine can be chosen.
+    fn no_engine_refusal(&self) -> Refusal {
+        if self.may_have_run {
+            return Refusal::new(RefusalReason::MayHaveRun, "no other engine for a retry");
+        }
+        let pool = &self.request.pool;
+        let detail = match self.gateway.barred_engines(pool) {
+            Some(barred) => format!("no engine of pool '{pool}' accepts work ({barred})"),
+            None => format!("no engine of pool '{pool}' accepts work"),
+        };
+        Refusal::new(RefusalReason::NoEngine, detail)
+            .with_retry_after(self.retry_after(NO_ENGINE_RETRY))
+    }
+
+    /// The refusal of a request that is sent to no further engine because engines have crashed under it. The caller
+    /// learns at once when a retry may help.
+    fn poison_refusal(&self, retry_after: Duration) -> Refusal {
+        let detail = "engines have crashed while running this request";
+        if self.may_have_run {
+            return Refusal::new(RefusalReason::MayHaveRun, detail);
+        }
+        Refusal::new(RefusalReason::CrashesEngines, detail).with_retry_after(retry_after)
+    }
+
+    /// The time until the first excluded engine of the pool may be sent requests again, if it is known and longer than
+    /// `otherwise`; else `otherwise`.
+    fn retry_after(&self, otherwise: Duration) -> Duration {
+        let opening = self.gateway.next_opening(&self.request.pool);
+        opening.map_or(otherwise, |opening| opening.max(otherwise))
+    }
+
+    /// The refusal when the retry budget allows no further attempt.
+    fn budget_refusal(&self) -> Refusal {
+        if self.may_have_run {
+            return Refusal::new(RefusalReason::MayHaveRun, "retry budget spent");
+        }
+        Refusal::new(RefusalReason::NotRun, "retry budget spent").with_retry_after(NO_ROOM_RETRY)
+    }
+
+    /// The refusal after the last attempt has failed with `error`.
+    fn failure_refusal(&self, error: &AttemptError) -> Refusal {
+        if self.may_have_run {
+            return Refusal::new(RefusalReason::MayHaveRun, error.to_string());
+        }
+        Refusal::new(RefusalReason::NotRun, error.to_string())
+            .with_retry_after(self.retry_after(NO_ROOM_RETRY))
+    }
+}
