--- a/crates/core/src/release/baseline.rs
+++ b/crates/core/src/release/baseline.rs
@@ -3,14 +3,14 @@
 use super::Tally;
 
 /// What is taken for the present version's answers before any was seen: so many, of which
-/// [`LEAST_BAD_RATE`] were bad. Enough for the first bad answer of either version not to decide alone.
-const PRESUMED_ANSWERS: f64 = 40.0;
+/// [`MIN_BAD_RATE`] were bad. Enough for the first bad answer of either version not to decide alone.
+const PRIOR_ANSWERS: f64 = 40.0;
 /// Services answer some requests with errors in calm times too; below this rate no version is held
 /// against another.
-const LEAST_BAD_RATE: f64 = 0.01;
+const MIN_BAD_RATE: f64 = 0.01;
 /// Above this rate the present version is taken to fail this often: with the largest excess that a worse
 /// version is tested for, the rate must stay below one.
-const MOST_BAD_RATE: f64 = 0.45;
+const MAX_BAD_RATE: f64 = 0.45;
 /// So many answers later the earlier ones count a half: some seconds of a pool's traffic, so that a
 /// disruption that both versions meet is known from the present one's answers.
 const HALF_LIFE_ANSWERS: f64 = 400.0;
@@ -32,8 +32,8 @@
 
     /// Share of its answers that are bad.
     pub fn bad_rate(&self) -> f64 {
-        let bad = self.bad + PRESUMED_ANSWERS * LEAST_BAD_RATE;
-        let rate = bad / (self.answers + PRESUMED_ANSWERS);
-        rate.clamp(LEAST_BAD_RATE, MOST_BAD_RATE)
+        let bad = self.bad + PRIOR_ANSWERS * MIN_BAD_RATE;
+        let rate = bad / (self.answers + PRIOR_ANSWERS);
+        rate.clamp(MIN_BAD_RATE, MAX_BAD_RATE)
     }
 }
--- a/crates/core/src/release/ledger.rs
+++ b/crates/core/src/release/cluster_counts.rs
@@ -12,20 +12,20 @@
 /// Each reporter's figures only rise, so the sum does too: a node that is silent for a while, or is
 /// lost, is counted once and not anew, and what it saw before stays known.
 #[derive(Debug, Clone, Default)]
-pub struct Ledger {
+pub struct ClusterCounts {
     own: Counts,
     reports: BTreeMap<Reporter, Counts>,
 }
 
-impl Ledger {
+impl ClusterCounts {
     /// This node saw an answer.
-    pub fn note(&mut self, cell: CountKey, judgement: Judgement) {
-        self.own.note(cell, judgement);
+    pub fn note(&mut self, key: CountKey, judgement: Judgement) {
+        self.own.note(key, judgement);
     }
 
     /// Another node reports all that it has seen.
-    pub fn absorb(&mut self, reporter: Reporter, counts: &Counts) {
-        self.reports.entry(reporter).or_default().raise(counts);
+    pub fn merge_report(&mut self, reporter: Reporter, counts: &Counts) {
+        self.reports.entry(reporter).or_default().merge_max(counts);
     }
 
     /// What this node has seen itself.
--- a/crates/core/src/release/counts.rs
+++ b/crates/core/src/release/counts.rs
@@ -17,37 +17,37 @@
 
 impl Counts {
     /// One more answer.
-    pub fn note(&mut self, cell: CountKey, judgement: Judgement) {
-        self.0.entry(cell).or_default().note(judgement);
+    pub fn note(&mut self, key: CountKey, judgement: Judgement) {
+        self.0.entry(key).or_default().note(judgement);
     }
 
     /// Adds answers.
-    pub fn add(&mut self, cell: CountKey, tally: Tally) {
-        self.0.entry(cell).or_default().add(tally);
+    pub fn add(&mut self, key: CountKey, tally: Tally) {
+        self.0.entry(key).or_default().add(tally);
     }
 
     /// Adds all of others.
     pub fn add_all(&mut self, other: &Self) {
-        for (cell, tally) in other.iter() {
-            self.add(cell, tally);
+        for (key, tally) in other.iter() {
+            self.add(key, tally);
         }
     }
 
     /// Takes a report of whoever reported these before.
-    pub fn raise(&mut self, later: &Self) {
-        for (cell, tally) in later.iter() {
-            self.0.entry(cell).or_default().raise(tally);
+    pub fn merge_max(&mut self, later: &Self) {
+        for (key, tally) in later.iter() {
+            self.0.entry(key).or_default().merge_max(tally);
         }
     }
 
     /// The answers that are counted together.
-    pub fn of(&self, cell: CountKey) -> Tally {
-        self.0.get(&cell).copied().unwrap_or_default()
+    pub fn of(&self, key: CountKey) -> Tally {
+        self.0.get(&key).copied().unwrap_or_default()
     }
 
     /// All of them, in the order of their cells.
     pub fn iter(&self) -> impl Iterator<Item = (CountKey, Tally)> {
-        self.0.iter().map(|(cell, tally)| (*cell, *tally))
+        self.0.iter().map(|(key, tally)| (*key, *tally))
     }
 
     /// Whether nothing was counted.
@@ -57,31 +57,31 @@
 
     /// Answers of the present version.
     pub fn present(&self) -> Tally {
-        self.sum(|cell| cell.is_present())
+        self.sum(|key| key.is_present())
     }
 
     /// Answers of the target version.
     pub fn target(&self) -> Tally {
-        self.sum(|cell| !cell.is_present())
+        self.sum(|key| !key.is_present())
     }
 
     /// Answers of the target version on a route.
     pub fn target_on(&self, route: RouteKey) -> Tally {
-        self.sum(|cell| cell.route == route && !cell.is_present())
+        self.sum(|key| key.route == route && !key.is_present())
     }
 
     /// How many answers came of each engine of the target version.
     pub fn target_by_engine(&self) -> impl Iterator<Item = u32> {
         let mut sums: BTreeMap<EngineKey, u32> = BTreeMap::new();
-        for (cell, tally) in self.iter().filter(|(cell, _)| !cell.is_present()) {
-            *sums.entry(cell.engine).or_default() += tally.answers;
+        for (key, tally) in self.iter().filter(|(key, _)| !key.is_present()) {
+            *sums.entry(key.engine).or_default() += tally.answers;
         }
         sums.into_values()
     }
 
     fn sum(&self, is_counted: impl Fn(&CountKey) -> bool) -> Tally {
         let mut sum = Tally::default();
-        for (_, tally) in self.iter().filter(|(cell, _)| is_counted(cell)) {
+        for (_, tally) in self.iter().filter(|(key, _)| is_counted(key)) {
             sum.add(tally);
         }
         sum
@@ -89,10 +89,10 @@
 }
 
 impl From<Vec<(RouteKey, EngineKey, Tally)>> for Counts {
-    fn from(cells: Vec<(RouteKey, EngineKey, Tally)>) -> Self {
-        let cells = cells.into_iter();
+    fn from(entries: Vec<(RouteKey, EngineKey, Tally)>) -> Self {
+        let entries = entries.into_iter();
         Self(
-            cells
+            entries
                 .map(|(route, engine, tally)| (CountKey { route, engine }, tally))
                 .collect(),
         )
@@ -101,9 +101,9 @@
 
 impl From<Counts> for Vec<(RouteKey, EngineKey, Tally)> {
     fn from(counts: Counts) -> Self {
-        let cells = counts.iter();
-        cells
-            .map(|(cell, tally)| (cell.route, cell.engine, tally))
+        let entries = counts.iter();
+        entries
+            .map(|(key, tally)| (key.route, key.engine, tally))
             .collect()
     }
 }
--- a/crates/core/src/release/cumulative_sum.rs
+++ b/crates/core/src/release/cumulative_sum.rs
@@ -31,11 +31,11 @@
         parts().sum::<f64>() - worst
     }
 
-    /// The sum, of which one engine's part is at most `most_of_one`.
-    pub(super) fn score(&self, most_of_one: f64) -> f64 {
+    /// The sum, of which one engine's part is at most `max_per_engine`.
+    pub(super) fn score(&self, max_per_engine: f64) -> f64 {
         self.by_engine
             .values()
-            .map(|part| part.min(most_of_one))
+            .map(|part| part.min(max_per_engine))
             .sum()
     }
 }
--- a/crates/core/src/release/exposure.rs
+++ b/crates/core/src/release/exposure.rs
@@ -8,12 +8,12 @@
 
 /// Requests go to a small pool's target version in surges, one in each period of this length. At a share of
 /// 0.085 a surge then lasts a quarter of a second or more, long enough to load an engine as it is in use.
-const SURGE_PERIOD: Duration = Duration::from_secs(3);
+const SURGE_INTERVAL: Duration = Duration::from_secs(3);
 /// With so many engines under trial at once, one that fails by itself stands out; fewer take turns ..
-const ENOUGH_ENGINES: usize = 3;
+const MIN_ENGINES_WITHOUT_ROTATION: usize = 3;
 /// .. of this length: enough for an engine to answer some requests, and short enough for several engines to
 /// have answered after three turns.
-const TURN: Duration = Duration::from_secs(1);
+const ROTATION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Engines of the target version that are under trial: some of them in the order that all nodes know,
 /// beginning anywhere in it.
@@ -58,11 +58,11 @@
         let engines = ((share * present) as usize).clamp(1, fleet.target.max(1));
         let part = engines as f64 / present;
         let surge_share = (share / part).min(1.0);
-        let periods = elapsed.as_secs_f64() / SURGE_PERIOD.as_secs_f64();
+        let periods = elapsed.as_secs_f64() / SURGE_INTERVAL.as_secs_f64();
         let is_surge = periods.fract() < surge_share;
         let targets = fleet.target.max(1);
-        let passed = match engines < ENOUGH_ENGINES {
-            true => turns_until(periods, surge_share) * engines,
+        let passed = match engines < MIN_ENGINES_WITHOUT_ROTATION {
+            true => rotations_before(periods, surge_share) * engines,
             false => 0,
         };
         // Each round begins one engine later: the last turn of a surge may be short, and would else always
@@ -84,9 +84,10 @@
 
 /// How many turns have begun before the present one, after so many surge periods of which a surge takes
 /// `surge_share`.
-fn turns_until(periods: f64, surge_share: f64) -> usize {
-    let turns_of_period = SURGE_PERIOD.as_secs_f64() / TURN.as_secs_f64();
-    let turns_of_surge = (surge_share * turns_of_period).ceil().max(1.0);
-    let turns_of_this = (periods.fract() * turns_of_period).min(turns_of_surge - 1.0);
-    (periods.trunc() * turns_of_surge) as usize + turns_of_this as usize
+fn rotations_before(periods: f64, surge_share: f64) -> usize {
+    let rotations_per_interval = SURGE_INTERVAL.as_secs_f64() / ROTATION_INTERVAL.as_secs_f64();
+    let rotations_per_surge = (surge_share * rotations_per_interval).ceil().max(1.0);
+    let rotations_in_surge =
+        (periods.fract() * rotations_per_interval).min(rotations_per_surge - 1.0);
+    (periods.trunc() * rotations_per_surge) as usize + rotations_in_surge as usize
 }
--- a/crates/core/src/release/account.rs
+++ b/crates/core/src/release/exposure_budget.rs
@@ -8,12 +8,12 @@
 /// The bound holds over all nodes and for the whole release. It is a share of the requests, so it holds
 /// for the sum when each node keeps to it by itself, and no message has to arrive for that.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct ExposureBudget {
     all: u64,
     target: u64,
 }
 
-impl Account {
+impl ExposureBudget {
     /// A request goes to an engine of the pool for the first time.
     pub fn count(&mut self) {
         self.all += 1;
@@ -25,10 +25,10 @@
     }
 
     /// Whether one more may go to the target version, where there are so many nodes.
-    pub fn has_room(&self, settings: &Settings, nodes: usize) -> bool {
+    pub fn allows_request(&self, settings: &Settings, nodes: usize) -> bool {
         let slack = settings.used_slack() / nodes.max(1) as f64;
-        let most = self.all as f64 * settings.used_share() + slack;
-        (self.target + 1) as f64 <= most
+        let allowed = self.all as f64 * settings.used_share() + slack;
+        (self.target + 1) as f64 <= allowed
     }
 
     /// Requests that went to the pool.
--- a/crates/core/src/release/grant.rs
+++ b/crates/core/src/release/grant.rs
@@ -46,12 +46,12 @@
         match (self.stage.is_final(), other.stage.is_final()) {
             (true, false) => true,
             (false, true) => false,
-            (true, true) => self.place_among_ends() > other.place_among_ends(),
+            (true, true) => self.final_rank() > other.final_rank(),
             (false, false) => (self.fence, self.number) > (other.fence, other.number),
         }
     }
 
-    fn place_among_ends(&self) -> (u64, u64, u64) {
+    fn final_rank(&self) -> (u64, u64, u64) {
         (self.revision, self.fence, self.number)
     }
 }
--- a/crates/core/src/release/mod.rs
+++ b/crates/core/src/release/mod.rs
@@ -10,17 +10,17 @@
 //! A release is not a rollout of weights ([`crate::order`]): weights change within an engine, software
 //! changes with the engine.
 
-mod account;
 mod baseline;
+mod cluster_counts;
 mod comparison;
 mod count_key;
 mod counts;
 mod cumulative_sum;
 mod exposure;
+mod exposure_budget;
 mod fleet;
 mod grant;
 mod judgement;
-mod ledger;
 mod order;
 mod progress;
 mod recent_answers;
@@ -30,16 +30,16 @@
 mod stage;
 mod tally;
 
-pub use account::Account;
 pub use baseline::Baseline;
+pub use cluster_counts::{ClusterCounts, Reporter};
 pub use comparison::Comparison;
 pub use count_key::{CountKey, EngineKey, PRESENT, RouteKey, key_of};
 pub use counts::Counts;
 pub use exposure::{Exposure, Window};
+pub use exposure_budget::ExposureBudget;
 pub use fleet::Fleet;
 pub use grant::Grant;
 pub use judgement::Judgement;
-pub use ledger::{Ledger, Reporter};
 pub use order::{Order, SoftwareVersion};
 pub use progress::Progress;
 pub use record::{Outcome, Record};
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -13,39 +13,39 @@
 /// The trial goes on for so long after another director has taken it up, or after requests that had begun to
 /// move went back: the target version then answered little or nothing of late, and what is known of it may be
 /// out of date. That is what grants take to arrive, answers to come and news of them to be told.
-const LEAST_TRIAL: Duration = Duration::from_secs(2);
+const MIN_TRIAL_TIME: Duration = Duration::from_secs(2);
 /// The pool's traffic is known roughly after so long: answers take some hundred milliseconds.
-const TRAFFIC_KNOWN_AFTER: Duration = Duration::from_secs(2);
+const TRAFFIC_MEASURING_TIME: Duration = Duration::from_secs(2);
 /// In a pool with few requests the slack is a large part of what the target version may get, and without it
 /// there would be too few answers to tell a bad version by. The slack adds at most this to the share of the
 /// requests that the target version gets, so that it is spread over the trial.
-const MOST_SLACK_SHARE: f64 = 0.15;
+const MAX_SLACK_SHARE: f64 = 0.15;
 /// Shares of new requests, one after the other, before all go to the target version. Few: while they
 /// last, a version that has become bad gets more than in the trial.
-const SHIFTS: [f64; 2] = [0.3, 0.6];
+const SHIFT_SHARES: [f64; 2] = [0.3, 0.6];
 /// Time at each share: what a grant takes to reach every node, and some answers after that.
-const SHIFT_TIME: Duration = Duration::from_millis(700);
+const SHIFT_STEP_TIME: Duration = Duration::from_millis(700);
 /// Answers of the target version without which it is not taken to do as well: of a version that fails one
 /// request in ten, four are bad by then.
-const LEAST_ANSWERS: u32 = 40;
+const MIN_ANSWERS: u32 = 40;
 /// They must come from as many engines as it takes to convict a version, so many from each: what one of them
 /// does wrong alone is held against none.
-const LEAST_ANSWERS_OF_ENGINE: u32 = 5;
+const MIN_ANSWERS_PER_ENGINE: u32 = 5;
 /// With fewer answers of the present version there is no traffic to speak of.
-const LEAST_TRAFFIC: u32 = 10;
+const MIN_PRESENT_ANSWERS: u32 = 10;
 /// On a route with so many answers of the present version ..
-const BUSY_ROUTE: u32 = 100;
+const BUSY_ROUTE_ANSWERS: u32 = 100;
 /// .. so many of the target version are needed, or this share of those, if that is less.
-const LEAST_ANSWERS_OF_ROUTE: u32 = 10;
-const LEAST_SHARE_OF_ROUTE: f64 = 0.02;
+const MAX_ANSWERS_NEEDED_PER_ROUTE: u32 = 10;
+const MIN_SHARE_PER_ROUTE: f64 = 0.02;
 /// Engines of the target version, for each of the present one, that can bear its requests.
-const LEAST_ENGINES: f64 = 0.8;
+const MIN_ENGINE_RATIO: f64 = 0.8;
 /// The release is completed once nothing was seen to run at the present version's engines for so long: news
 /// of what runs are up to a second old.
 const IDLE_TIME: Duration = Duration::from_millis(1_200);
 /// After so many ramps a version that was not seen to do as well is rolled back: engines that never came,
 /// or that answer nothing.
-const MOST_RAMPS: u32 = 3;
+const MAX_RAMPS: u32 = 3;
 
 /// The stages of a release, as its director takes it through them.
 #[derive(Debug, Clone)]
@@ -94,7 +94,7 @@
 
     /// Goes on with what a node held against the target version before it directs the release. Taken anew its
     /// answers would all be of one moment, like those of crashes, of which few count.
-    pub fn with_suspicion(self, comparison: Comparison, rollback: Option<Rollback>) -> Self {
+    pub fn with_comparison(self, comparison: Comparison, rollback: Option<Rollback>) -> Self {
         Self {
             comparison,
             rollback,
@@ -171,7 +171,7 @@
 
     fn after_trial(&mut self, fleet: &Fleet, total: &Counts, now: Timestamp) -> Stage {
         let elapsed = self.elapsed(now);
-        if elapsed >= self.order.ramp * MOST_RAMPS && now.since(self.stage_since) >= self.order.ramp
+        if elapsed >= self.order.ramp * MAX_RAMPS && now.since(self.stage_since) >= self.order.ramp
         {
             self.rollback = Some(Rollback::Unproven {
                 target: total.target(),
@@ -180,13 +180,13 @@
             return Stage::RolledBack;
         }
         let is_due = elapsed >= self.order.ramp.mul_f64(TRIAL_SHARE)
-            && now.since(self.stage_since) >= LEAST_TRIAL;
+            && now.since(self.stage_since) >= MIN_TRIAL_TIME;
         let is_proven =
-            has_enough_answers(total, fleet.target) && self.comparison.is_clear(fleet.target);
+            has_enough_answers(total, fleet.target) && self.comparison.allows_shift(fleet.target);
         let is_proven =
-            is_proven && (!has_traffic(total) || self.comparison.has_shown_as_good(fleet.target));
+            is_proven && (!has_traffic(total) || self.comparison.is_accepted(fleet.target));
         let is_decided = is_proven && !self.comparison.seems_slow(now);
-        match is_due && is_decided && can_bear_all(fleet) {
+        match is_due && is_decided && has_capacity_for_all(fleet) {
             true => Stage::Shifting,
             false => Stage::Trial,
         }
@@ -194,11 +194,11 @@
 
     fn after_shift(&self, fleet: &Fleet, now: Timestamp) -> Stage {
         let is_doubtful =
-            !self.comparison.is_clear(fleet.target) || self.comparison.seems_slow(now);
-        if is_doubtful || !can_bear_all(fleet) {
+            !self.comparison.allows_shift(fleet.target) || self.comparison.seems_slow(now);
+        if is_doubtful || !has_capacity_for_all(fleet) {
             return Stage::Trial;
         }
-        let length = SHIFT_TIME * SHIFTS.len() as u32;
+        let length = SHIFT_STEP_TIME * SHIFT_SHARES.len() as u32;
         match now.since(self.stage_since) >= length {
             true => Stage::Settling,
             false => Stage::Shifting,
@@ -206,7 +206,7 @@
     }
 
     fn after_settling(&mut self, fleet: &Fleet, now: Timestamp) -> Stage {
-        if !can_bear_all(fleet) || self.comparison.seems_slow(now) {
+        if !has_capacity_for_all(fleet) || self.comparison.seems_slow(now) {
             self.idle_since = None;
             return Stage::Trial;
         }
@@ -217,11 +217,11 @@
             *idle_since = now;
         }
         // A node that is not heard may have requests there until they end by themselves.
-        let is_over = settled >= fleet.longest_request + self.settings.grant_life();
+        let has_timed_out = settled >= fleet.longest_request + self.settings.grant_lifetime();
         let is_idle_for_long = now.since(*idle_since) >= IDLE_TIME;
         // Nodes that have not heard of the last stage send nothing more once their grants have run out.
         let has_arrived = settled >= IDLE_TIME;
-        match (is_idle_for_long && has_arrived) || is_over {
+        match (is_idle_for_long && has_arrived) || has_timed_out {
             true => Stage::Completed,
             false => Stage::Settling,
         }
@@ -231,7 +231,7 @@
     /// the trial.
     fn slack_share(&self, total: &Counts, now: Timestamp) -> f64 {
         let elapsed = self.elapsed(now);
-        if elapsed < TRAFFIC_KNOWN_AFTER {
+        if elapsed < TRAFFIC_MEASURING_TIME {
             return 0.0;
         }
         let elapsed_s = elapsed.as_secs_f64();
@@ -239,9 +239,9 @@
         let per_second = f64::from(answers) / elapsed_s;
         let trial_s = self.order.ramp.as_secs_f64() * TRIAL_SHARE;
         let requests = (per_second * trial_s).max(1.0);
-        let missing = f64::from(LEAST_ANSWERS) - requests * self.settings.used_share();
+        let missing = f64::from(MIN_ANSWERS) - requests * self.settings.used_share();
         let share = missing.clamp(0.0, self.settings.used_slack()) / requests;
-        share.min(MOST_SLACK_SHARE)
+        share.min(MAX_SLACK_SHARE)
     }
 
     fn exposure_at(&self, fleet: &Fleet, total: &Counts, now: Timestamp) -> Exposure {
@@ -255,8 +255,9 @@
                 Exposure::during_trial(share, fleet, self.elapsed(now))
             }
             Stage::Shifting => {
-                let steps = now.since(self.stage_since).as_secs_f64() / SHIFT_TIME.as_secs_f64();
-                all(SHIFTS[(steps as usize).min(SHIFTS.len() - 1)])
+                let steps =
+                    now.since(self.stage_since).as_secs_f64() / SHIFT_STEP_TIME.as_secs_f64();
+                all(SHIFT_SHARES[(steps as usize).min(SHIFT_SHARES.len() - 1)])
             }
             Stage::Settling | Stage::Completed => all(1.0),
             Stage::RolledBack | Stage::Withdrawn => all(0.0),
@@ -266,7 +267,7 @@
 
 /// Whether there are enough requests for a bad version to harm any.
 fn has_traffic(total: &Counts) -> bool {
-    total.present().answers >= LEAST_TRAFFIC
+    total.present().answers >= MIN_PRESENT_ANSWERS
 }
 
 /// Whether the target version has answered enough: in all, from enough engines, and on every busy route.
@@ -276,25 +277,25 @@
     if !has_traffic(total) {
         return true;
     }
-    let least = LEAST_ANSWERS.min(present.answers / 10);
+    let least = MIN_ANSWERS.min(present.answers / 10);
     if total.target().answers < least {
         return false;
     }
     let answers = total.target_by_engine();
-    let seen = answers.filter(|answers| *answers >= LEAST_ANSWERS_OF_ENGINE.min(least));
-    if seen.count() < Comparison::engines_to_convict(engines) {
+    let seen = answers.filter(|answers| *answers >= MIN_ANSWERS_PER_ENGINE.min(least));
+    if seen.count() < Comparison::min_engines_for_rollback(engines) {
         return false;
     }
-    let routes = total.iter().filter(|(cell, _)| cell.is_present());
-    let mut busy = routes.filter(|(_, tally)| tally.answers >= BUSY_ROUTE);
+    let routes = total.iter().filter(|(key, _)| key.is_present());
+    let mut busy = routes.filter(|(_, tally)| tally.answers >= BUSY_ROUTE_ANSWERS);
     busy.all(|(CountKey { route, .. }, tally)| {
-        let share = f64::from(tally.answers) * LEAST_SHARE_OF_ROUTE;
-        let least = LEAST_ANSWERS_OF_ROUTE.min(share as u32);
+        let share = f64::from(tally.answers) * MIN_SHARE_PER_ROUTE;
+        let least = MAX_ANSWERS_NEEDED_PER_ROUTE.min(share as u32);
         total.target_on(route).answers >= least
     })
 }
 
 /// Whether the engines of the target version can take all requests of the pool.
-fn can_bear_all(fleet: &Fleet) -> bool {
-    fleet.target > 0 && fleet.target as f64 >= fleet.present as f64 * LEAST_ENGINES
+fn has_capacity_for_all(fleet: &Fleet) -> bool {
+    fleet.target > 0 && fleet.target as f64 >= fleet.present as f64 * MIN_ENGINE_RATIO
 }
--- a/crates/core/src/release/recent_answers.rs
+++ b/crates/core/src/release/recent_answers.rs
@@ -9,16 +9,16 @@
 /// An answer is compared with those that came within this time before and after it. What makes every
 /// engine slow (a busy machine, a burst, a slow link) lasts for longer; a quiet pool of 25 requests a
 /// second has some twenty answers in it.
-pub(super) const REACH: Duration = Duration::from_millis(500);
+pub(super) const COMPARISON_RADIUS: Duration = Duration::from_millis(500);
 /// Answers are kept for so long, and the last so many times that some came for longer.
-const KEPT: Duration = Duration::from_secs(2);
-const KEPT_AT_LEAST: usize = 20;
+const RETENTION: Duration = Duration::from_secs(2);
+const MIN_RETAINED: usize = 20;
 /// With fewer answers before or after it there is nothing to compare with.
-const LEAST_ANSWERS: u32 = 3;
+const MIN_ANSWERS: u32 = 3;
 /// One slow answer among a few is no slowness of all.
-const LEAST_SLOW: u32 = 2;
+const MIN_SLOW_ANSWERS: u32 = 2;
 /// Above this share nearly all answers are slow, whatever the version: such moments tell nothing of it.
-const MOST_SLOW_SHARE: f64 = 0.8;
+const MAX_SLOW_SHARE: f64 = 0.8;
 
 /// What the present version's answers of the same moments say of slow ones.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -44,8 +44,8 @@
         if tally.answers > 0 {
             self.answers.push_back((now, tally));
         }
-        let is_old = |at: Timestamp| now.since(at) > KEPT;
-        while self.answers.len() > KEPT_AT_LEAST
+        let is_old = |at: Timestamp| now.since(at) > RETENTION;
+        while self.answers.len() > MIN_RETAINED
             && self.answers.front().is_some_and(|(at, _)| is_old(*at))
         {
             self.answers.pop_front();
@@ -71,13 +71,13 @@
             let answers = self.answers.iter();
             sum(answers.filter(move |(at, _)| (from..=to).contains(at)))
         };
-        let before = within(moment.before(REACH), moment);
-        let after = within(moment, moment.after(REACH));
-        if before.answers.min(after.answers) < LEAST_ANSWERS {
+        let before = within(moment.before(COMPARISON_RADIUS), moment);
+        let after = within(moment, moment.after(COMPARISON_RADIUS));
+        if before.answers.min(after.answers) < MIN_ANSWERS {
             return Control::Missing;
         }
         match slow_share(before).max(slow_share(after)) {
-            share if share > MOST_SLOW_SHARE => Control::AllSlow,
+            share if share > MAX_SLOW_SHARE => Control::AllSlow,
             share => Control::SlowShare(share),
         }
     }
@@ -93,7 +93,7 @@
 
 /// Share of answers that were slow, and by as much more as a share of so few usually errs.
 fn slow_share(tally: Tally) -> f64 {
-    if tally.slow < LEAST_SLOW {
+    if tally.slow < MIN_SLOW_ANSWERS {
         return 0.0;
     }
     let answers = f64::from(tally.answers);
--- a/crates/core/src/release/tally.rs
+++ b/crates/core/src/release/tally.rs
@@ -42,7 +42,7 @@
     }
 
     /// The larger figure of each: of two reports by one reporter the later one.
-    pub fn raise(&mut self, other: Self) {
+    pub fn merge_max(&mut self, other: Self) {
         self.answers = self.answers.max(other.answers);
         self.failed = self.failed.max(other.failed);
         self.slow = self.slow.max(other.slow);
--- a/crates/core/tests/release_world/mod.rs
+++ b/crates/core/tests/release_world/mod.rs
@@ -8,7 +8,8 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::PoolName;
 use ryerouter_core::release::{
-    Account, CountKey, Fleet, Judgement, Ledger, Order, PRESENT, Progress, Settings, Stage,
+    ClusterCounts, CountKey, ExposureBudget, Fleet, Judgement, Order, PRESENT, Progress, Settings,
+    Stage,
 };
 
 const TICK: Duration = Duration::from_millis(50);
@@ -102,8 +103,8 @@
 
 pub fn settings() -> Settings {
     Settings {
-        exposed_share: 0.1,
-        exposed_slack: 50.0,
+        exposure_share: 0.1,
+        exposure_slack: 50.0,
         rollback_within: Duration::from_secs(5),
     }
 }
@@ -126,11 +127,11 @@
 /// Plays a release until it ends, or for ten ramps.
 pub fn play(case: &Case, seed: u64) -> End {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let (mut trial, mut ledger) = (
+    let (mut trial, mut cluster_counts) = (
         Progress::new(order(case.ramp_s), settings(), Timestamp::ZERO),
-        Ledger::default(),
+        ClusterCounts::default(),
     );
-    let mut accounts = vec![Account::default(); case.nodes];
+    let mut accounts = vec![ExposureBudget::default(); case.nodes];
     let mut pending: VecDeque<Answer> = VecDeque::new();
     let (mut all, mut exposed, mut bad) = (0_u64, 0_u64, 0_u64);
     let mut fiftieth_at = None;
@@ -140,7 +141,7 @@
         now = now.after(TICK);
         while pending.front().is_some_and(|answer| answer.at <= now) {
             let answer = pending.pop_front().expect("answer");
-            ledger.note(answer.cell, answer.judgement);
+            cluster_counts.note(answer.cell, answer.judgement);
             let is_bad = !answer.cell.is_present() && answer.judgement != Judgement::Good;
             bad += u64::from(is_bad);
             if bad == 50 {
@@ -155,22 +156,23 @@
             has_silent_nodes: false,
             longest_request: Duration::from_secs(5),
         };
-        trial.advance(&fleet, &ledger.total(), now);
+        trial.advance(&fleet, &cluster_counts.total(), now);
         let grant = trial.grant(1, 1, 1, now);
         let arrivals = case.per_second * TICK.as_secs_f64();
         let arrivals = arrivals as u32 + u32::from(random.random_bool(arrivals.fract()));
         for _ in 0..arrivals {
             let route = random.random_range(1..=ROUTES);
-            let account = &mut accounts[random.random_range(0..case.nodes)];
-            account.count();
+            let exposure_budget = &mut accounts[random.random_range(0..case.nodes)];
+            exposure_budget.count();
             all += u64::from(now.since(Timestamp::ZERO) < deadline);
             let is_bounded = grant.stage == Stage::Trial;
             let is_drawn = random.random_bool(grant.share);
-            let to_target = is_drawn && (!is_bounded || account.has_room(&settings(), case.nodes));
+            let to_target = is_drawn
+                && (!is_bounded || exposure_budget.allows_request(&settings(), case.nodes));
             let engine = match to_target {
                 false => PRESENT,
                 true => {
-                    account.count_target();
+                    exposure_budget.count_target();
                     exposed += 1;
                     let places: Vec<_> = (0..case.engines)
                         .filter(|place| {
@@ -215,7 +217,7 @@
         stage: trial.stage(),
         after: trial.elapsed(now),
         exposed: exposed as f64,
-        allowed: all as f64 * settings().exposed_share + settings().exposed_slack,
+        allowed: all as f64 * settings().exposure_share + settings().exposure_slack,
         after_fiftieth: fiftieth_at.map(|at| now.since(at)),
         why: trial.rollback().map(ToString::to_string),
     }
--- a/crates/gateway/src/engines/engine.rs
+++ b/crates/gateway/src/engines/engine.rs
@@ -12,9 +12,9 @@
 use super::{EngineEntry, EngineLoad, EngineState};
 
 /// An engine that had no room is avoided for so long at first.
-const AVOID_FULL: Duration = Duration::from_millis(150);
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 /// This time doubles with each refusal in a row, so often at most.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Weights that an engine loads.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     /// It had other weights than expected, so it is about to load and is avoided until this time.
     misdirected_until: Option<Timestamp>,
     /// Weights that it seems to have, though nobody said so: model and version.
-    presumed: Option<(String, u64)>,
+    presumed_weights: Option<(String, u64)>,
     /// Its entry went without a word while the list was not to be trusted.
     pub is_unlisted: bool,
     /// It refused work for want of room and is avoided until this time.
@@ -57,7 +57,7 @@
     /// When the latest request was sent that it has answered.
     answered_sent_at: Option<Timestamp>,
     /// When it seems to have ended: its connections broke off, and it has taken nothing since.
-    ended_at: Option<Timestamp>,
+    crashed_at: Option<Timestamp>,
 }
 
 impl Engine {
@@ -73,12 +73,12 @@
             foreign_load: EngineLoad::default(),
             loading: None,
             misdirected_until: None,
-            presumed: None,
+            presumed_weights: None,
             is_unlisted: false,
             full_until: None,
             refusals_in_a_row: 0,
             answered_sent_at: None,
-            ended_at: None,
+            crashed_at: None,
         }
     }
 
@@ -95,9 +95,9 @@
     /// Version of its weights that requests should expect: the known one, unless it turned that
     /// away after a load of another was announced.
     pub fn serving_weights_of(&self, model: &str) -> Option<u64> {
-        let presumed = self.presumed.as_ref();
-        let presumed = presumed.filter(|(of, _)| of == model);
-        presumed
+        let presumed_weights = self.presumed_weights.as_ref();
+        let presumed_weights = presumed_weights.filter(|(of, _)| of == model);
+        presumed_weights
             .map(|(_, version)| *version)
             .max(self.weights_of(model))
     }
@@ -137,15 +137,15 @@
         let expected = expected.map(|(model, version)| (model.to_owned(), version));
         let loaded = self.loading.as_ref();
         let loaded = loaded.map(|loading| (loading.model.clone(), loading.version));
-        let was_presumed = expected.is_some() && self.presumed == expected;
+        let was_presumed = expected.is_some() && self.presumed_weights == expected;
         match (expected, loaded) {
             (Some(expected), Some(loaded))
                 if !was_presumed && expected.0 == loaded.0 && expected.1 < loaded.1 =>
             {
-                self.presumed = Some(loaded);
+                self.presumed_weights = Some(loaded);
             }
             _ => {
-                self.presumed = None;
+                self.presumed_weights = None;
                 self.misdirected_until = self.misdirected_until.max(Some(until));
             }
         }
@@ -160,28 +160,28 @@
     /// It refused work for want of room: avoided for longer after each refusal in a row, as when it
     /// loads weights and nobody could tell.
     pub fn note_full(&mut self, now: Timestamp) {
-        let doublings = self.refusals_in_a_row.min(MOST_DOUBLINGS);
+        let doublings = self.refusals_in_a_row.min(MAX_BACKOFF_DOUBLINGS);
         self.refusals_in_a_row += 1;
-        self.full_until = Some(now.after(AVOID_FULL * 2_u32.pow(doublings)));
+        self.full_until = Some(now.after(FULL_BACKOFF * 2_u32.pow(doublings)));
     }
 
     /// It took work.
     pub fn note_accepted(&mut self) {
         self.refusals_in_a_row = 0;
-        self.ended_at = None;
+        self.crashed_at = None;
     }
 
     /// The connection of a run that began then broke off. Runs that end together are one end, that of the first.
-    pub fn note_ended(&mut self, began: Timestamp, ended: Timestamp) {
-        let is_known = self.ended_at.is_some_and(|at| at >= began);
+    pub fn note_crashed(&mut self, began: Timestamp, ended: Timestamp) {
+        let is_known = self.crashed_at.is_some_and(|at| at >= began);
         if !is_known {
-            self.ended_at = Some(ended);
+            self.crashed_at = Some(ended);
         }
     }
 
     /// When it seems to have ended.
-    pub fn ended_at(&self) -> Option<Timestamp> {
-        self.ended_at
+    pub fn crashed_at(&self) -> Option<Timestamp> {
+        self.crashed_at
     }
 
     /// It answered a request that was sent then, in whatever way.
@@ -195,7 +195,7 @@
     }
 
     /// Whether it has answered a request that was sent after a moment.
-    pub fn has_answered_what_was_sent_after(&self, moment: Timestamp) -> bool {
+    pub fn has_answered_request_sent_after(&self, moment: Timestamp) -> bool {
         self.answered_sent_at > Some(moment)
     }
 
--- a/crates/gateway/src/engines/engine_table.rs
+++ b/crates/gateway/src/engines/engine_table.rs
@@ -5,14 +5,14 @@
 
 use ryerouter_core::identity::{BackEndName, PoolName};
 
-use super::gone_conditions::GoneConditions;
-use super::{Engine, EngineEntry, EngineLoad, ToldLife};
+use super::removed_conditions::RemovedConditions;
+use super::{Engine, EngineEntry, EngineLoad, IncarnationOrder};
 
 /// All engines by name; iterates in order of name, so that decisions repeat.
 #[derive(Debug, Default)]
 pub struct EngineTable {
     engines: BTreeMap<BackEndName, Engine>,
-    gone: GoneConditions,
+    removed: RemovedConditions,
     /// Engines at which other processes have work, as far as they have told.
     loaded: Vec<BackEndName>,
     /// Rises whenever an engine may have changed.
@@ -73,19 +73,19 @@
         self.generation += 1;
         let Some(engine) = self.engines.get_mut(&entry.name) else {
             let name = entry.name.clone();
-            let former = self.gone.take(&name, entry.incarnation);
+            let former = self.removed.take(&name, entry.incarnation);
             let mut engine = Engine::new(entry);
             engine.condition = former.unwrap_or_default();
             self.engines.insert(name, engine);
             return;
         };
-        match ToldLife::new(engine.entry.incarnation, entry.incarnation) {
-            ToldLife::Same => {}
-            ToldLife::Later => {
+        match IncarnationOrder::new(engine.entry.incarnation, entry.incarnation) {
+            IncarnationOrder::Same => {}
+            IncarnationOrder::Newer => {
                 *engine = Engine::new(entry);
                 return;
             }
-            ToldLife::Former => return,
+            IncarnationOrder::Older => return,
         }
         entry.incarnation = entry.incarnation.or(engine.entry.incarnation);
         let known = std::mem::take(&mut engine.entry.weights);
@@ -101,7 +101,7 @@
         self.generation += 1;
         let engine = self.engines.remove(name)?;
         let condition = engine.condition.clone();
-        self.gone.keep(name, engine.entry.incarnation, condition);
+        self.removed.keep(name, engine.entry.incarnation, condition);
         Some(engine)
     }
 
--- a/crates/gateway/src/engines/in_flight.rs
+++ b/crates/gateway/src/engines/in_flight.rs
@@ -20,13 +20,13 @@
     }
 
     /// The first token arrived, so the prompt has been read.
-    pub fn prompt_read(&mut self) {
+    pub fn note_prefill_done(&mut self) {
         let read = EngineLoad {
-            unread_tokens: self.load.unread_tokens,
+            prefill_tokens: self.load.prefill_tokens,
             ..EngineLoad::default()
         };
         self.counter.borrow_mut().remove(read);
-        self.load.unread_tokens = 0;
+        self.load.prefill_tokens = 0;
     }
 }
 
--- a/crates/gateway/src/engines/part_times.rs
+++ b/crates/gateway/src/engines/phase_times.rs
@@ -9,11 +9,11 @@
 
 /// Most estimates that are kept: routes that were dropped leave theirs behind. Beyond it all are
 /// forgotten and learnt anew.
-const MOST_ESTIMATES: usize = 1_024;
+const MAX_ESTIMATES: usize = 1_024;
 
 /// What is waited for on a connection to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum AwaitedPart {
+pub enum ResponsePhase {
     /// From sending a request to the head of its answer.
     Head,
     /// From there to the first event of a stream.
@@ -25,15 +25,15 @@
 /// How long parts of answers take: for each pool, route and part by itself, since prompts and plain
 /// requests have little in common. See docs/design/accounting.md.
 #[derive(Debug, Default)]
-pub struct PartTimes {
-    estimates: HashMap<(PoolName, String, AwaitedPart), TimeEstimate>,
+pub struct PhaseTimes {
+    estimates: HashMap<(PoolName, String, ResponsePhase), TimeEstimate>,
 }
 
-impl PartTimes {
+impl PhaseTimes {
     /// A part of an answer came after so long, or not until then.
-    pub fn note(&mut self, pool: &PoolName, route: &str, part: AwaitedPart, took: Duration) {
-        let key = (pool.clone(), route.to_owned(), part);
-        if self.estimates.len() >= MOST_ESTIMATES && !self.estimates.contains_key(&key) {
+    pub fn note(&mut self, pool: &PoolName, route: &str, phase: ResponsePhase, took: Duration) {
+        let key = (pool.clone(), route.to_owned(), phase);
+        if self.estimates.len() >= MAX_ESTIMATES && !self.estimates.contains_key(&key) {
             self.estimates.clear();
         }
         let known = self.estimates.entry(key);
@@ -47,10 +47,10 @@
         &self,
         pool: &PoolName,
         route: &str,
-        part: AwaitedPart,
+        phase: ResponsePhase,
     ) -> Option<TimeEstimate> {
-        let key = (pool.clone(), route.to_owned(), part);
+        let key = (pool.clone(), route.to_owned(), phase);
         let estimate = self.estimates.get(&key)?;
-        estimate.is_settled().then_some(*estimate)
+        estimate.is_ready().then_some(*estimate)
     }
 }
--- a/crates/gateway/src/engines/gone_conditions.rs
+++ b/crates/gateway/src/engines/removed_conditions.rs
@@ -5,18 +5,18 @@
 use ryerouter_core::backpressure::Condition;
 use ryerouter_core::identity::{BackEndName, Incarnation};
 
-use super::ToldLife;
+use super::IncarnationOrder;
 
 /// Most engines that are remembered; the first to go is forgotten.
-const MOST_REMEMBERED: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 
 /// What engines said of themselves whose entries have gone: an entry may lapse while its engine goes on.
 #[derive(Debug, Default)]
-pub(super) struct GoneConditions {
-    gone: VecDeque<(BackEndName, Option<Incarnation>, Condition)>,
+pub(super) struct RemovedConditions {
+    removed: VecDeque<(BackEndName, Option<Incarnation>, Condition)>,
 }
 
-impl GoneConditions {
+impl RemovedConditions {
     /// An entry has gone.
     pub(super) fn keep(
         &mut self,
@@ -27,9 +27,10 @@
         if condition.is_empty() {
             return;
         }
-        self.gone.push_back((name.clone(), incarnation, condition));
-        if self.gone.len() > MOST_REMEMBERED {
-            self.gone.pop_front();
+        self.removed
+            .push_back((name.clone(), incarnation, condition));
+        if self.removed.len() > MAX_ENTRIES {
+            self.removed.pop_front();
         }
     }
 
@@ -39,8 +40,11 @@
         name: &BackEndName,
         incarnation: Option<Incarnation>,
     ) -> Option<Condition> {
-        let index = self.gone.iter().rposition(|(gone, _, _)| gone == name)?;
-        let (_, former, condition) = self.gone.remove(index)?;
-        (ToldLife::new(former, incarnation) == ToldLife::Same).then_some(condition)
+        let index = self
+            .removed
+            .iter()
+            .rposition(|(removed, _, _)| removed == name)?;
+        let (_, former, condition) = self.removed.remove(index)?;
+        (IncarnationOrder::new(former, incarnation) == IncarnationOrder::Same).then_some(condition)
     }
 }
--- a/crates/gateway/src/engines/begin_times.rs
+++ b/crates/gateway/src/engines/start_delays.rs
@@ -14,20 +14,20 @@
 /// A request that waits in an engine may begin after its weights have run out, and what other nodes
 /// have sent there is only roughly known, so what was measured bounds the estimate from below.
 #[derive(Debug, Default)]
-pub struct BeginTimes {
+pub struct StartDelays {
     pools: HashMap<PoolName, (Duration, Timestamp)>,
 }
 
-impl BeginTimes {
+impl StartDelays {
     /// A request of a pool began `after` it had come.
     pub fn note(&mut self, pool: &PoolName, after: Duration, now: Timestamp) {
-        if after >= self.slowest(pool, now) {
+        if after >= self.max_recent(pool, now) {
             self.pools.insert(pool.clone(), (after, now));
         }
     }
 
     /// The longest time lately; older measurements count less.
-    pub fn slowest(&self, pool: &PoolName, now: Timestamp) -> Duration {
+    pub fn max_recent(&self, pool: &PoolName, now: Timestamp) -> Duration {
         let Some((measured, at)) = self.pools.get(pool) else {
             return Duration::ZERO;
         };
--- a/crates/gateway/src/engines/time_estimate.rs
+++ b/crates/gateway/src/engines/time_estimate.rs
@@ -10,60 +10,60 @@
 /// Weight of a new value in the deviation, twice that of the mean as in RFC 6298.
 const DEVIATION_GAIN: f64 = 2.0 * MEAN_GAIN;
 /// Values until an estimate is used.
-const LEAST_VALUES: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 /// A segment that was lost is sent again after 200 ms at the earliest (`TCP_RTO_MIN`), and the answer
 /// to it takes a moment; nothing shorter is silence.
-const LEAST_SILENCE: Duration = Duration::from_millis(250);
+const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Deviations above the mean that are too long while the engine answers what was sent later. Times
 /// have heavy tails; how seldom this is wrong is measured in docs/design/accounting.md.
-const DEVIATIONS_WHILE_OTHERS_ARE_ANSWERED: f64 = 8.0;
+const DEVIATIONS_WHILE_OTHERS_ANSWERED: f64 = 8.0;
 /// The same while nothing is heard of the engine, so that it may only be slow.
-const DEVIATIONS_WITHOUT_NEWS: f64 = 32.0;
+const DEVIATIONS_WITHOUT_RESPONSE: f64 = 32.0;
 
 /// How long a part of an answer takes at most.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeEstimate {
     time: SmoothedTime,
-    values: u32,
+    samples: u32,
 }
 
 impl TimeEstimate {
     /// After the first value.
-    pub fn first(value: Duration) -> Self {
+    pub fn first(sample: Duration) -> Self {
         Self {
-            time: SmoothedTime::first(value),
-            values: 1,
+            time: SmoothedTime::first(sample),
+            samples: 1,
         }
     }
 
     /// Takes another value in.
-    pub fn note(&mut self, value: Duration) {
-        self.values = self.values.saturating_add(1);
+    pub fn note(&mut self, sample: Duration) {
+        self.samples = self.samples.saturating_add(1);
         // The first values weigh as in a plain mean, so that the very first is soon outweighed.
-        let least_gain = 1.0 / f64::from(self.values);
+        let sample_gain = 1.0 / f64::from(self.samples);
         let gains = Gains {
-            mean: MEAN_GAIN.max(least_gain),
-            deviation: DEVIATION_GAIN.max(least_gain),
+            mean: MEAN_GAIN.max(sample_gain),
+            deviation: DEVIATION_GAIN.max(sample_gain),
         };
-        self.time.note(value, gains);
+        self.time.note(sample, gains);
     }
 
     /// Whether enough was seen.
-    pub fn is_settled(&self) -> bool {
-        self.values >= LEAST_VALUES
+    pub fn is_ready(&self) -> bool {
+        self.samples >= MIN_SAMPLES
     }
 
     /// Longer than this hardly takes any, while the engine answers what was sent later.
-    pub fn longest_while_others_are_answered(&self) -> Duration {
-        self.longest(DEVIATIONS_WHILE_OTHERS_ARE_ANSWERED)
+    pub fn max_while_others_answered(&self) -> Duration {
+        self.timeout(DEVIATIONS_WHILE_OTHERS_ANSWERED)
     }
 
     /// Longer than this hardly takes any, even when the engine is slow.
-    pub fn longest_without_news(&self) -> Duration {
-        self.longest(DEVIATIONS_WITHOUT_NEWS)
+    pub fn max_without_response(&self) -> Duration {
+        self.timeout(DEVIATIONS_WITHOUT_RESPONSE)
     }
 
-    fn longest(&self, deviations: f64) -> Duration {
-        self.time.above_mean(deviations).max(LEAST_SILENCE)
+    fn timeout(&self, deviations: f64) -> Duration {
+        self.time.above_mean(deviations).max(MIN_TIMEOUT)
     }
 }
--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -11,7 +11,7 @@
 
 use super::news_queue::{part_of_turn, take_news};
 use super::{Gateway, GatewayState};
-use crate::engines::{Engine, ToldLife};
+use crate::engines::{Engine, IncarnationOrder};
 use crate::peers::{NodeIdentity, SignalNews};
 use crate::request::AnswerFacts;
 
@@ -294,7 +294,8 @@
     ) {
         for told in news {
             let is_same_life = |engine: &&Engine| {
-                ToldLife::new(engine.entry.incarnation, told.incarnation) == ToldLife::Same
+                IncarnationOrder::new(engine.entry.incarnation, told.incarnation)
+                    == IncarnationOrder::Same
             };
             if state
                 .engines
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -86,7 +86,7 @@
             match change.is_held {
                 true if is_worth && is_first => self.note_holder(&mut state, key, engine),
                 // Whoever sent the request that read it tells the others.
-                true if is_worth && state.holders.knows(key) => {
+                true if is_worth && state.holders.contains(key) => {
                     state.holders.note(key, engine, now)
                 }
                 true => {}
--- a/crates/gateway/src/gateway/cache_knowledge.rs
+++ b/crates/gateway/src/gateway/cache_knowledge.rs
@@ -23,7 +23,7 @@
     /// A request of a pool began: its prompt was read `after` it had come.
     pub fn note_begin(&self, pool: &PoolName, after: Duration) {
         let now = self.clock().now();
-        self.state_mut().begin_times.note(pool, after, now);
+        self.state_mut().start_delays.note(pool, after, now);
     }
 
     /// An engine has read the prompt of a request: others may fetch its parts.
@@ -39,7 +39,7 @@
             match is_worth {
                 true => self.note_holder(&mut state, *key, &placement.engine),
                 // Only this node may see it again.
-                false => state.holders.note_untold(*key, &placement.engine, now),
+                false => state.holders.note_local(*key, &placement.engine, now),
             }
         }
         if let Some(store) = placement.save_to {
@@ -99,8 +99,8 @@
     pub(super) fn adopt_kv_store_news(&self, state: &mut GatewayState, news: KvStoreNews) -> bool {
         let KvStoreNews(address, told) = news;
         match state.kv_stores.note(address, told) {
-            StoreChange::None => return false,
-            StoreChange::Reached(answers) => {
+            StoreChange::Unchanged => return false,
+            StoreChange::ReachabilityChanged(answers) => {
                 info!(self.log(), "kv_store_reached"; "store" => %address, "answers" => answers);
             }
             StoreChange::Restarted { before, epoch } => {
--- a/crates/gateway/src/gateway/caller_ring.rs
+++ b/crates/gateway/src/gateway/caller_ring.rs
@@ -8,7 +8,7 @@
 use ryerouter_core::identity::{RegionName, ZoneName};
 
 use crate::peers::Capacity;
-use crate::places::Places;
+use crate::topology::Topology;
 
 /// A ring of fewer nodes that serve is too weak: the loss of one would leave none.
 const LEAST_NODES: usize = 2;
@@ -64,13 +64,13 @@
 
 impl CallerPlace<'_> {
     /// Whether a node of `zone` belongs to a ring around the caller.
-    fn has_in(&self, ring: CallerRing, zone: &ZoneName, places: &Places) -> bool {
+    fn has_in(&self, ring: CallerRing, zone: &ZoneName, topology: &Topology) -> bool {
         match (ring, self.region) {
             (CallerRing::Zone, _) => zone == self.zone,
-            (CallerRing::Region, Some(region)) if !places.knows(self.zone) => {
-                places.is_in(zone, region)
+            (CallerRing::Region, Some(region)) if !topology.knows(self.zone) => {
+                topology.is_in(zone, region)
             }
-            (CallerRing::Region, _) => places.area(zone) == places.area(self.zone),
+            (CallerRing::Region, _) => topology.area(zone) == topology.area(self.zone),
             (CallerRing::All, _) => true,
         }
     }
@@ -82,12 +82,12 @@
     pub fn of<'a>(
         place: CallerPlace<'_>,
         nodes: &[CallerNode<'a>],
-        places: &Places,
+        topology: &Topology,
     ) -> (Self, Vec<CallerNode<'a>>) {
         for ring in [Self::Zone, Self::Region] {
             let known = || {
                 let nodes = nodes.iter().copied();
-                nodes.filter(|node| place.has_in(ring, node.zone, places))
+                nodes.filter(|node| place.has_in(ring, node.zone, topology))
             };
             let ready: Vec<_> = known().filter(|node| node.is_ready).collect();
             let left: f64 = ready.iter().map(|node| node.capacity.weight()).sum();
--- a/crates/gateway/src/gateway/callers.rs
+++ b/crates/gateway/src/gateway/callers.rs
@@ -73,7 +73,7 @@
         }
         let is_pressed = self.is_pressed(&state, now);
         let nodes = self.caller_nodes(&state, is_ready, now);
-        let (ring, ready) = CallerRing::of(place, &nodes, &self.settings().places);
+        let (ring, ready) = CallerRing::of(place, &nodes, &self.settings().topology);
         let addresses = draw_addresses(&ready, most, is_pressed, &mut rand::rng());
         let is_served_zone = nodes.iter().any(|node| node.zone == place.zone);
         let (known, serving) = (nodes.len(), ready.len());
--- a/crates/gateway/src/gateway/dividing.rs
+++ b/crates/gateway/src/gateway/dividing.rs
@@ -7,7 +7,9 @@
 use slog::info;
 
 use super::{Gateway, GatewayState};
-use crate::placement::{Division, Placement, PlacementRequest, ReadingNews, mostly_reads};
+use crate::placement::{
+    Placement, PlacementRequest, PrefillDemandUpdate, PrefillSplit, is_prefill_heavy,
+};
 
 impl Gateway {
     /// A request was given an engine.
@@ -15,22 +17,26 @@
         let Some(prompt) = request.prompt else {
             return;
         };
-        if mostly_reads(prompt, &self.settings().prices) {
+        if is_prefill_heavy(prompt, &self.settings().prices) {
             let now = self.clock().now();
-            let demand = &mut self.state_mut().reading_demand;
-            demand.count(request.pool, placement.unread_tokens, now);
+            let demand = &mut self.state_mut().prefill_demand;
+            demand.count(request.pool, placement.prefill_tokens, now);
         }
     }
 
     /// What the nodes of this zone bring pools to read, for the others.
-    pub(super) fn reading_of_zone(&self, state: &GatewayState, now: Timestamp) -> Vec<ReadingNews> {
+    pub(super) fn reading_of_zone(
+        &self,
+        state: &GatewayState,
+        now: Timestamp,
+    ) -> Vec<PrefillDemandUpdate> {
         let mut sums: BTreeMap<PoolName, u32> = BTreeMap::new();
-        let own = state.reading_demand.news(now);
-        for ReadingNews(pool, tokens) in state.peers.reading(now).chain(&own) {
+        let own = state.prefill_demand.updates(now);
+        for PrefillDemandUpdate(pool, tokens) in state.peers.reading(now).chain(&own) {
             *sums.entry(pool.clone()).or_default() += tokens;
         }
         let told = sums.into_iter();
-        told.map(|(pool, tokens)| ReadingNews(pool, tokens))
+        told.map(|(pool, tokens)| PrefillDemandUpdate(pool, tokens))
             .collect()
     }
 
@@ -39,7 +45,7 @@
         let now = self.clock().now();
         let mut state = self.state_mut();
         let others = reading_of_others(&state, now);
-        state.reading_demand.set_others(others);
+        state.prefill_demand.set_others(others);
         let Some(table) = state.table.clone() else {
             return;
         };
@@ -48,29 +54,34 @@
             .pools()
             .filter(|pool| pool.engine.is_some() && table.longest_pause(&pool.name).is_some());
         let divided = pools.filter_map(|pool| {
-            let division = self.divide(&state, &pool.name, now)?;
-            Some((pool.name.clone(), division))
+            let prefill_split = self.divide(&state, &pool.name, now)?;
+            Some((pool.name.clone(), prefill_split))
         });
-        let divisions = divided.collect();
-        state.divisions = divisions;
+        let prefill_splits = divided.collect();
+        state.prefill_splits = prefill_splits;
     }
 
     /// Divides the engines of a pool, where that helps.
-    fn divide(&self, state: &GatewayState, pool: &PoolName, now: Timestamp) -> Option<Division> {
-        let tokens = state.reading_demand.per_second(pool, now);
-        let known = state.divisions.get(pool);
+    fn divide(
+        &self,
+        state: &GatewayState,
+        pool: &PoolName,
+        now: Timestamp,
+    ) -> Option<PrefillSplit> {
+        let tokens = state.prefill_demand.per_second(pool, now);
+        let known = state.prefill_splits.get(pool);
         let prices = &self.settings().prices;
         let intake = self.intake_of_all(state, pool, now);
         let was_divided = known.is_some();
         let of_pool = state.engines.of_pool(pool);
         let engines = of_pool.filter(|engine| intake.admits(&engine.entry));
-        let division = Division::among(engines, tokens, prices, was_divided);
-        if known != division.as_ref() {
+        let prefill_split = PrefillSplit::from_engines(engines, tokens, prices, was_divided);
+        if known != prefill_split.as_ref() {
             info!(self.log(), "engines_divided"; "pool" => %pool,
-                "reading" => division.as_ref().map(|division| division.count(&state.engines)),
+                "reading" => prefill_split.as_ref().map(|prefill_split| prefill_split.count(&state.engines)),
                 "tokens_per_s" => tokens as u64);
         }
-        division
+        prefill_split
     }
 }
 
@@ -78,7 +89,7 @@
     let mut sums: HashMap<PoolName, f64> = HashMap::new();
     let is_large = state.peers.is_large();
     let far = state.zone_traffic.reading(now).filter(|_| is_large);
-    for ReadingNews(pool, tokens) in state.peers.reading(now).chain(far) {
+    for PrefillDemandUpdate(pool, tokens) in state.peers.reading(now).chain(far) {
         *sums.entry(pool.clone()).or_default() += f64::from(*tokens);
     }
     sums
--- a/crates/gateway/src/gateway/engine_lives.rs
+++ b/crates/gateway/src/gateway/engine_lives.rs
@@ -7,7 +7,7 @@
 use slog::{debug, info};
 
 use super::{Gateway, GatewayState};
-use crate::engines::{EngineEntry, ToldLife};
+use crate::engines::{EngineEntry, IncarnationOrder};
 use crate::peers::{EngineLifeNews, EngineLoadNews, HolderNews, PeerMessage, WeightsNews};
 use crate::placement::Placement;
 use crate::rollout::EngineReport;
@@ -22,28 +22,32 @@
     /// Whether an engine is in the life in which it was chosen: what it did before says nothing of it.
     pub fn is_in_life_of(&self, placement: &Placement) -> bool {
         let known = self.life_of(&placement.engine);
-        ToldLife::new(known, placement.incarnation) == ToldLife::Same
+        IncarnationOrder::new(known, placement.incarnation) == IncarnationOrder::Same
     }
 
     /// What an entry says of the life of its engine. One that has begun again holds and knows nothing,
     /// so all that is known of it is forgotten.
-    pub(super) fn take_life(&self, state: &mut GatewayState, entry: &EngineEntry) -> ToldLife {
+    pub(super) fn take_life(
+        &self,
+        state: &mut GatewayState,
+        entry: &EngineEntry,
+    ) -> IncarnationOrder {
         let now = self.clock().now();
         let name = &entry.name;
         let known = match state.engines.get(name) {
             Some(engine) => engine.entry.incarnation,
-            None => state.lives.of_gone(name, now),
+            None => state.lives.of_unlisted(name, now),
         };
-        let told = ToldLife::new(known, entry.incarnation);
+        let told = IncarnationOrder::new(known, entry.incarnation);
         match (told, entry.incarnation) {
-            (ToldLife::Later, Some(incarnation)) => {
+            (IncarnationOrder::Newer, Some(incarnation)) => {
                 info!(self.log(), "engine_began_again"; "engine" => %name,
                     "incarnation" => incarnation.0, "before" => known.map(|known| known.0));
-                state.lives.note_begun(name, incarnation, now);
+                state.lives.note_restarted(name, incarnation, now);
                 state.forget_life(name);
                 self.upstream().forget(name);
             }
-            (ToldLife::Former, _) => {
+            (IncarnationOrder::Older, _) => {
                 debug!(self.log(), "former_life_listed"; "engine" => %name);
             }
             _ => {}
@@ -53,14 +57,18 @@
 
     /// What an engine reports of itself, when that is about the life that is known. A report of a newer
     /// one is news of it, which may come before the list has them.
-    pub fn take_report_life(&self, engine: &BackEndName, report: &EngineReport) -> ToldLife {
-        let told = ToldLife::new(self.life_of(engine), report.incarnation);
+    pub fn take_report_life(
+        &self,
+        engine: &BackEndName,
+        report: &EngineReport,
+    ) -> IncarnationOrder {
+        let told = IncarnationOrder::new(self.life_of(engine), report.incarnation);
         match told {
-            ToldLife::Same => {}
-            ToldLife::Former => {
+            IncarnationOrder::Same => {}
+            IncarnationOrder::Older => {
                 info!(self.log(), "former_life_reported"; "engine" => %engine);
             }
-            ToldLife::Later => self.take_reported_life(engine, report),
+            IncarnationOrder::Newer => self.take_reported_life(engine, report),
         }
         told
     }
@@ -118,9 +126,9 @@
             Some(EngineLifeNews(_, told)) => {
                 let known = self.engines.get(engine);
                 let known = known.and_then(|known| known.entry.incarnation);
-                ToldLife::new(known, Some(*told)) != ToldLife::Same
+                IncarnationOrder::new(known, Some(*told)) != IncarnationOrder::Same
             }
-            None => self.lives.may_be_late(engine, now),
+            None => self.lives.may_concern_previous(engine, now),
         }
     }
 
@@ -143,7 +151,7 @@
         now: Timestamp,
     ) -> Vec<EngineLifeNews> {
         // Mostly none has, and messages go out many times a second.
-        if !self.lives.have_begun(now) {
+        if !self.lives.has_recent_restarts(now) {
             return Vec::new();
         }
         let held = holders.iter().copied().flatten().map(|news| &news.1);
@@ -151,7 +159,7 @@
         let ordered = weights.iter().map(|news| &news.engine);
         let named: BTreeSet<_> = held.chain(loaded).chain(ordered).collect();
         let lives = named.into_iter().filter_map(|engine| {
-            let incarnation = self.lives.to_tell(engine, now)?;
+            let incarnation = self.lives.to_report(engine, now)?;
             Some(EngineLifeNews(engine.clone(), incarnation))
         });
         lives.collect()
--- a/crates/gateway/src/gateway/gateway_settings.rs
+++ b/crates/gateway/src/gateway/gateway_settings.rs
@@ -8,9 +8,9 @@
 
 use crate::peers::NodeIdentity;
 use crate::placement::PlacementPrices;
-use crate::places::Places;
 use crate::retry::RetrySettings;
 use crate::rollout::RolloutSettings;
+use crate::topology::Topology;
 use crate::upstream::ConnectSettings;
 
 /// A proof that the configuration is current is asked for at two fifths of the age that is allowed,
@@ -24,7 +24,7 @@
     /// Who it is.
     pub identity: NodeIdentity,
     /// Which zone lies in which region.
-    pub places: Places,
+    pub topology: Topology,
     /// Where other nodes may be.
     pub seeds: Vec<SocketAddr>,
     /// Requests with a key are refused when the configuration was not proven current for so long;
--- a/crates/gateway/src/gateway/gateway_state.rs
+++ b/crates/gateway/src/gateway/gateway_state.rs
@@ -14,12 +14,12 @@
 use super::engines_behind::EnginesBehind;
 use super::{CallerRing, GatewaySettings, ProofOfFreshness};
 use crate::catalogue::RoutingTable;
-use crate::engines::{BeginTimes, EngineTable, KnownLives, PartTimes};
+use crate::engines::{EngineTable, KnownIncarnations, PhaseTimes, StartDelays};
 use crate::peers::{
     HolderNews, LeaseNews, MemberAddress, NodeIdentity, NodeState, PeerTable, SentTimes,
     WeightsNews, ZoneTraffic,
 };
-use crate::placement::{Division, HolderTable, KvStores, ReadingDemand};
+use crate::placement::{HolderTable, KvStores, PrefillDemand, PrefillSplit};
 use crate::poison::Records;
 use crate::quotas::Quotas;
 use crate::release;
@@ -76,17 +76,17 @@
     /// Whether engines have older weights than named.
     pub engines_behind: EnginesBehind,
     /// Which engines have begun again lately.
-    pub lives: KnownLives,
+    pub lives: KnownIncarnations,
     /// Entries of the list of engines that can't be read, for a node that the list is handed to.
     pub unusable_entries: BTreeSet<BackEndName>,
     /// How long requests take to begin.
-    pub begin_times: BeginTimes,
+    pub start_delays: StartDelays,
     /// How long answers take.
-    pub part_times: PartTimes,
+    pub phase_times: PhaseTimes,
     /// What is read for requests that mostly read.
-    pub reading_demand: ReadingDemand,
+    pub prefill_demand: PrefillDemand,
     /// Which engines are kept for them.
-    pub divisions: HashMap<PoolName, Division>,
+    pub prefill_splits: HashMap<PoolName, PrefillSplit>,
     /// Who holds which prefix.
     pub holders: HolderTable,
     /// What is believed of the stores of kept KV cache.
@@ -197,7 +197,7 @@
 
     /// The state at the start of a process, which is `now`.
     pub fn new(settings: &GatewaySettings, now: Timestamp) -> Self {
-        let mut peers = PeerTable::new(settings.places.clone());
+        let mut peers = PeerTable::new(settings.topology.clone());
         for seed in &settings.seeds {
             if *seed != settings.identity.peer_address {
                 peers.suggest(*seed);
@@ -224,12 +224,12 @@
             engines: EngineTable::default(),
             has_unlisted: false,
             engines_behind: EnginesBehind::default(),
-            lives: KnownLives::default(),
+            lives: KnownIncarnations::default(),
             unusable_entries: BTreeSet::new(),
-            begin_times: BeginTimes::default(),
-            part_times: PartTimes::default(),
-            reading_demand: ReadingDemand::default(),
-            divisions: HashMap::new(),
+            start_delays: StartDelays::default(),
+            phase_times: PhaseTimes::default(),
+            prefill_demand: PrefillDemand::default(),
+            prefill_splits: HashMap::new(),
             holders: HolderTable::new(settings.remembered_prefixes),
             kv_stores: KvStores::default(),
             deadlines: WeightsDeadlines::new(settings.weights_grace),
--- a/crates/gateway/src/gateway/items.rs
+++ b/crates/gateway/src/gateway/items.rs
@@ -10,7 +10,7 @@
 
 use super::Gateway;
 use crate::catalogue::RoutingTable;
-use crate::engines::{EngineEntry, EngineState, EngineTable, ToldLife};
+use crate::engines::{EngineEntry, EngineState, EngineTable, IncarnationOrder};
 use crate::peers::NodeState;
 use crate::source::{Consistency, Item, ItemBatch, ItemChange, ItemKind, List, SourceError};
 
@@ -263,7 +263,7 @@
 
     pub(super) fn engine_listed(&self, entry: EngineEntry) {
         let mut state = self.state_mut();
-        if self.take_life(&mut state, &entry) == ToldLife::Former {
+        if self.take_life(&mut state, &entry) == IncarnationOrder::Older {
             return;
         }
         state.unusable_entries.remove(&entry.name);
@@ -330,7 +330,7 @@
                 info!(self.log(), "engine_gone"; "engine" => %name, "left_out" => left_out);
             }
             if let Some(incarnation) = engine.entry.incarnation {
-                state.lives.note_gone(name, incarnation, now);
+                state.lives.note_unlisted(name, incarnation, now);
             }
         }
         state.holders.forget_engine(name);
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -10,7 +10,7 @@
 use super::news_queue::{part_of_turn, take_news};
 use super::poison_records::settle_unless_newer;
 use super::{Gateway, GatewayState};
-use crate::engines::{Engine, ToldLife};
+use crate::engines::{Engine, IncarnationOrder};
 use crate::poison::{PoisonNews, Run};
 use crate::serve::AcceptedRequest;
 
@@ -76,12 +76,12 @@
         let Some(engine) = engine.filter(|engine| engine.is_staying()) else {
             return;
         };
-        let ended_at = engine.ended_at().filter(|at| now.since(*at) < lapse);
-        if ended_at.is_some_and(|at| at < began) {
+        let crashed_at = engine.crashed_at().filter(|at| now.since(*at) < lapse);
+        if crashed_at.is_some_and(|at| at < began) {
             // It was sent to an engine that had ended before.
             return;
         }
-        engine.note_ended(began, now);
+        engine.note_crashed(began, now);
         let mut crash = Crash {
             engine: placement.engine.clone(),
             incarnation: placement.incarnation,
@@ -170,7 +170,8 @@
             let engine = engines.get(&crash.engine);
             let listed = engine.filter(|engine| !engine.is_unlisted);
             let is_same = listed.is_some_and(|engine| {
-                ToldLife::new(engine.entry.incarnation, crash.incarnation) == ToldLife::Same
+                IncarnationOrder::new(engine.entry.incarnation, crash.incarnation)
+                    == IncarnationOrder::Same
             });
             is_same && now.since(crash.ended) > lapse
         };
@@ -199,8 +200,8 @@
         now: Timestamp,
     ) -> bool {
         let engine = state.engines.get(engine);
-        let ended_at = engine.and_then(Engine::ended_at);
-        ended_at.is_some_and(|at| now.since(at) < self.time_until_gone())
+        let crashed_at = engine.and_then(Engine::crashed_at);
+        crashed_at.is_some_and(|at| now.since(at) < self.time_until_gone())
     }
 
     /// The engines of a pool that seem to have ended a little while ago.
@@ -302,8 +303,10 @@
         let Some(engine) = state.engines.get_mut(&crash.engine) else {
             continue;
         };
-        if ToldLife::new(engine.entry.incarnation, crash.incarnation) == ToldLife::Same {
-            engine.note_ended(crash.began, crash.ended);
+        if IncarnationOrder::new(engine.entry.incarnation, crash.incarnation)
+            == IncarnationOrder::Same
+        {
+            engine.note_crashed(crash.began, crash.ended);
         }
     }
 }
--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -75,14 +75,14 @@
             return;
         };
         if is_first {
-            known.account.count();
+            known.exposure_budget.count();
         }
         let engine = state.engines.get(&placement.engine);
         let target = &known.grant.order.target;
         let is_target = engine.is_some_and(|engine| engine.entry.software == *target);
         let version = match is_target {
             true => {
-                known.account.count_target();
+                known.exposure_budget.count_target();
                 "target"
             }
             false => "present",
@@ -108,7 +108,7 @@
             software: engine.entry.software.clone(),
             is_cold: engine.is_cold(now),
             is_stream: request.is_stream(),
-            unread_tokens: placement.unread_tokens,
+            prefill_tokens: placement.prefill_tokens,
             sent_at: now,
             first_event_at: None,
             events: 0,
@@ -192,7 +192,7 @@
         let of_target = of_pool.filter(|engine| engine.entry.software == order.target);
         let able = of_target.filter(|engine| engine.takes_work(now)).count();
         let total = known.total(is_large);
-        let sent = known.account;
+        let sent = known.exposure_budget;
         if known.reconsider() {
             info!(self.log(), "release_goes_on_here"; "pool" => %order.pool,
                 "target" => &order.target, "sent_here" => sent.target(), "of" => sent.all());
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -109,7 +109,7 @@
             table.map_or(Duration::ZERO, |table| table.longest_timeout(&order.pool));
         // Without news of the director a node sends nothing new there.
         let life = self.settings().releases.as_ref();
-        let life = life.map_or(Duration::ZERO, |settings| settings.grant_life());
+        let life = life.map_or(Duration::ZERO, |settings| settings.grant_lifetime());
         let within = longest_request + life;
         Fleet {
             present: able(&serving),
--- a/crates/gateway/src/gateway/shared.rs
+++ b/crates/gateway/src/gateway/shared.rs
@@ -12,7 +12,7 @@
 use super::{GatewaySettings, GatewayState};
 use crate::clock::Clock;
 use crate::peers::NodeState;
-use crate::placement::{Chooser, Failing, Placement, PlacementRequest};
+use crate::placement::{Chooser, Placement, PlacementRequest, UnhealthyEngines};
 use crate::release::EngineFilter;
 use crate::request::Dialect;
 use crate::retry::{RetrySettings, RetryWindow};
@@ -168,10 +168,10 @@
     /// Chooses an engine.
     pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<Placement> {
         let admission = self.admission(request.pool, request.id, request.tried);
-        let first = self.choose_among(request, &admission.first, admission.failing);
+        let first = self.choose_among(request, &admission.first, admission.unhealthy);
         let placement = first.or_else(|| {
             let fallback = admission.fallback.as_ref()?;
-            self.choose_among(request, fallback, Failing::BetterThanNone)
+            self.choose_among(request, fallback, UnhealthyEngines::LastResort)
         })?;
         self.count_distance(&placement);
         self.count_reading(request, &placement);
@@ -188,7 +188,10 @@
             return;
         };
         let own_zone = &self.settings.identity.zone;
-        let distance = self.settings.places.between(own_zone, &engine.entry.zone);
+        let distance = self
+            .settings
+            .topology
+            .distance(own_zone, &engine.entry.zone);
         let placements = &self.metrics.placements_by_distance;
         placements.with_label_values(&[&distance.to_string()]).inc();
     }
@@ -197,7 +200,7 @@
         &self,
         request: &PlacementRequest<'_>,
         intake: &EngineFilter,
-        failing: Failing,
+        unhealthy: UnhealthyEngines,
     ) -> Option<Placement> {
         let state = self.state();
         let table = state.table.as_ref()?;
@@ -209,15 +212,18 @@
             table,
             kv_stores: &state.kv_stores,
             deadlines: &state.deadlines,
-            slowest_begin: state.begin_times.slowest(request.pool, now).min(most_begin),
+            max_recent_start_delay: state
+                .start_delays
+                .max_recent(request.pool, now)
+                .min(most_begin),
             prices: &self.settings.prices,
-            division: state.divisions.get(request.pool),
+            prefill_split: state.prefill_splits.get(request.pool),
             is_large: state.peers.is_large(),
             zone: &self.settings.identity.zone,
-            places: &self.settings.places,
+            topology: &self.settings.topology,
             now,
         };
-        chooser.choose_among(request, intake, failing)
+        chooser.choose_among(request, intake, unhealthy)
     }
 
     /// Requests of each pool that began on replaced weights since the last call, at all nodes: the
@@ -248,7 +254,7 @@
 
     /// The same for an attempt that has not failed and may only be slow.
     pub fn spend_spare_retry(&self, pool: &PoolName) -> bool {
-        self.spend_retry_of(pool, RetryWindow::spend_spare)
+        self.spend_retry_of(pool, RetryWindow::spend_speculative)
     }
 
     fn spend_retry_of(
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Gateway, GatewayState};
-use crate::quotas::{TenantKey, UsageNews};
+use crate::quotas::{TenantKey, UsageUpdate};
 use crate::request::{Refusal, RefusalReason};
 use crate::serve::AcceptedRequest;
 
@@ -146,21 +146,21 @@
     }
 
     /// What tenants use at the nodes of this zone, for the others.
-    pub(super) fn usages_of_zone(&self, state: &GatewayState, now: Timestamp) -> Vec<UsageNews> {
+    pub(super) fn usages_of_zone(&self, state: &GatewayState, now: Timestamp) -> Vec<UsageUpdate> {
         let mut sums: BTreeMap<TenantKey, Usage> = BTreeMap::new();
-        let own = state.quotas.news(now);
-        for UsageNews(tenant, usage) in state.peers.usages(now).chain(own) {
+        let own = state.quotas.updates(now);
+        for UsageUpdate(tenant, usage) in state.peers.usages(now).chain(own) {
             sums.entry(tenant).or_default().add(usage);
         }
         let told = sums.into_iter();
-        told.map(|(tenant, usage)| UsageNews(tenant, usage))
+        told.map(|(tenant, usage)| UsageUpdate(tenant, usage))
             .collect()
     }
 }
 
 fn other_usages(state: &GatewayState, now: Timestamp) -> HashMap<TenantKey, Others> {
     let mut sums: HashMap<TenantKey, Others> = HashMap::new();
-    for UsageNews(tenant, usage) in state.peers.usages(now) {
+    for UsageUpdate(tenant, usage) in state.peers.usages(now) {
         sums.entry(tenant).or_default().add_heard(usage);
     }
     if state.peers.is_large() {
--- a/crates/gateway/src/gateway/zone_relay.rs
+++ b/crates/gateway/src/gateway/zone_relay.rs
@@ -9,7 +9,7 @@
 use super::{Gateway, GatewayState};
 use crate::engines::{EngineLoad, EngineTable};
 use crate::peers::{EngineLoadNews, HolderNews, NodeIdentity, Pass, Peer, WeightsNews, ZoneNews};
-use crate::places::{Area, Distance};
+use crate::topology::{Area, Distance};
 
 /// Most prefixes that one message tells of.
 const MOST_HOLDERS: usize = 128;
@@ -141,18 +141,18 @@
     /// the first of those that serve.
     fn relays(&self, state: &GatewayState, most: usize, now: Timestamp) -> Vec<SocketAddr> {
         let own = &self.settings().identity.zone;
-        let places = &self.settings().places;
+        let topology = &self.settings().topology;
         let mut near: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
         let mut remote: BTreeMap<Area<'_>, Vec<SocketAddr>> = BTreeMap::new();
         for peer in largest_first(state, now) {
             let NodeIdentity {
                 zone, peer_address, ..
             } = &peer.identity;
-            let (of_place, most) = match places.between(own, zone) {
+            let (of_place, most) = match topology.distance(own, zone) {
                 Distance::Near => continue,
                 Distance::SameRegion => (near.entry(zone).or_default(), most),
                 Distance::Remote => {
-                    let of_region = remote.entry(places.area(zone)).or_default();
+                    let of_region = remote.entry(topology.area(zone)).or_default();
                     (of_region, most.max(REMOTE_RELAYS))
                 }
             };
@@ -176,7 +176,7 @@
     /// News of another region for the other zones of the own one.
     fn parcel_of_region(&self, state: &GatewayState, news: &ZoneNews, now: Timestamp) -> Parcel {
         let own = &self.settings().identity.zone;
-        let places = &self.settings().places;
+        let topology = &self.settings().topology;
         let most = match is_urgent(news) {
             true => RELAYS_OF_URGENT_NEWS,
             false => 1,
@@ -186,7 +186,7 @@
             let NodeIdentity {
                 zone, peer_address, ..
             } = &peer.identity;
-            if places.between(own, zone) == Distance::SameRegion {
+            if topology.distance(own, zone) == Distance::SameRegion {
                 let of_zone = relays.entry(zone).or_default();
                 if of_zone.len() < most {
                     of_zone.push(*peer_address);
@@ -282,11 +282,11 @@
                 sums.entry(engine.entry.name.clone()).or_default().add(load);
             }
         }
-        let read_tokens_per_ms = self.settings().prices.read_tokens_per_ms;
+        let prefill_tokens_per_ms = self.settings().prices.prefill_tokens_per_ms;
         let is_told = |name: &BackEndName, load: &EngineLoad| {
             let engine = state.engines.get(name);
             let slots = engine.map_or(0, |engine| engine.entry.slots);
-            !state.peers.is_wide() || load.is_felt(slots, read_tokens_per_ms)
+            !state.peers.is_wide() || load.is_significant(slots, prefill_tokens_per_ms)
         };
         let told = sums.into_iter().filter(|(name, load)| is_told(name, load));
         told.map(|(name, load)| EngineLoadNews(name, load))
@@ -336,7 +336,7 @@
 
     fn is_of_other_region(&self, news: &ZoneNews) -> bool {
         let own = &self.settings().identity.zone;
-        self.settings().places.between(own, &news.zone) == Distance::Remote
+        self.settings().topology.distance(own, &news.zone) == Distance::Remote
     }
 
     /// The work of other nodes at engines has changed. With many nodes that happens many times a
--- a/crates/gateway/src/peers/peer.rs
+++ b/crates/gateway/src/peers/peer.rs
@@ -5,8 +5,8 @@
 use ryerouter_core::Timestamp;
 
 use super::{EngineLoadNews, NodeIdentity, NodeState};
-use crate::placement::ReadingNews;
-use crate::quotas::UsageNews;
+use crate::placement::PrefillDemandUpdate;
+use crate::quotas::UsageUpdate;
 
 /// Another node as this one knows it.
 #[derive(Debug, Clone)]
@@ -36,9 +36,9 @@
     /// Its work at engines.
     pub loads: Vec<EngineLoadNews>,
     /// What tenants use there.
-    pub usages: Vec<UsageNews>,
+    pub usages: Vec<UsageUpdate>,
     /// What it brings pools to read.
-    pub reading: Vec<ReadingNews>,
+    pub reading: Vec<PrefillDemandUpdate>,
 }
 
 impl Peer {
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -8,9 +8,9 @@
     LeaseNews, MemberAddress, MessageEcho, NamedNews, NodeIdentity, NodeState, SignalNews,
     WeightsNews,
 };
-use crate::placement::ReadingNews;
+use crate::placement::PrefillDemandUpdate;
 use crate::poison::PoisonNews;
-use crate::quotas::UsageNews;
+use crate::quotas::UsageUpdate;
 use crate::release::{EvidenceNews, ReleaseNews};
 
 /// One datagram between nodes: a JSON line, with short keys, since bytes between zones are dear.
@@ -82,11 +82,11 @@
     /// What tenants that come near their limits use at the sender.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "x")]
-    pub usages: Vec<UsageNews>,
+    pub usages: Vec<UsageUpdate>,
     /// What the sender brings pools to read.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "y")]
-    pub reading: Vec<ReadingNews>,
+    pub reading: Vec<PrefillDemandUpdate>,
     /// The states of the stores of kept KV cache that the sender asks.
     #[serde(rename = "k", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
--- a/crates/gateway/src/peers/peer_table.rs
+++ b/crates/gateway/src/peers/peer_table.rs
@@ -11,9 +11,9 @@
 
 use super::{Capacity, MemberAddress, MessageEcho, NodeIdentity, NodeState, Peer, PeerMessage};
 use crate::engines::EngineLoad;
-use crate::placement::ReadingNews;
-use crate::places::{Distance, Places};
-use crate::quotas::UsageNews;
+use crate::placement::PrefillDemandUpdate;
+use crate::quotas::UsageUpdate;
+use crate::topology::{Distance, Topology};
 
 /// A node that was silent for so long is not handed to callers.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_100);
@@ -53,7 +53,7 @@
 /// All other nodes, and addresses where more may be.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    places: Places,
+    topology: Topology,
     peers: BTreeMap<NodeName, Peer>,
     /// Names by the lives that echoes tell of: a message holds many echoes, and comes many times a second.
     names: HashMap<u64, NodeName>,
@@ -67,9 +67,9 @@
 
 impl PeerTable {
     /// A table that knows which zone lies in which region.
-    pub fn new(places: Places) -> Self {
+    pub fn new(topology: Topology) -> Self {
         Self {
-            places,
+            topology,
             ..Self::default()
         }
     }
@@ -121,7 +121,7 @@
             reaches_store: message.reaches_store,
             known_nodes: message.known_nodes,
             is_near: from.zone == *own_zone,
-            is_remote: self.places.between(own_zone, &from.zone) == Distance::Remote,
+            is_remote: self.topology.distance(own_zone, &from.zone) == Distance::Remote,
             sequence: message.sequence,
             newest_sequence: self.newest_sequence(message),
             heard_at: now,
@@ -377,7 +377,7 @@
     }
 
     /// What tenants use at all other nodes; in a large deployment at those of the own zone.
-    pub fn usages(&self, now: Timestamp) -> impl Iterator<Item = UsageNews> {
+    pub fn usages(&self, now: Timestamp) -> impl Iterator<Item = UsageUpdate> {
         let is_large = self.is_large();
         let heard = self
             .alive(now)
@@ -386,7 +386,7 @@
     }
 
     /// What all other nodes bring pools to read; in a large deployment those of the own zone.
-    pub fn reading(&self, now: Timestamp) -> impl Iterator<Item = &ReadingNews> {
+    pub fn reading(&self, now: Timestamp) -> impl Iterator<Item = &PrefillDemandUpdate> {
         let is_large = self.is_large();
         let heard = self
             .alive(now)
--- a/crates/gateway/src/peers/zone_news.rs
+++ b/crates/gateway/src/peers/zone_news.rs
@@ -5,9 +5,9 @@
 
 use super::readable::{readable, readable_or_default};
 use super::{EngineLifeNews, EngineLoadNews, HolderNews, SignalNews, WeightsNews};
-use crate::placement::ReadingNews;
+use crate::placement::PrefillDemandUpdate;
 use crate::poison::PoisonNews;
-use crate::quotas::UsageNews;
+use crate::quotas::UsageUpdate;
 use crate::release::{EvidenceNews, ReleaseNews};
 
 /// To whom the receiver of zone news passes them on.
@@ -51,10 +51,10 @@
     pub loads: Option<Vec<EngineLoadNews>>,
     /// What tenants that come near their limits use at the nodes of that zone, with the work.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-    pub usages: Vec<UsageNews>,
+    pub usages: Vec<UsageUpdate>,
     /// What the nodes of that zone bring pools to read, with the work.
     #[serde(rename = "y", default, skip_serializing_if = "Vec::is_empty")]
-    pub reading: Vec<ReadingNews>,
+    pub reading: Vec<PrefillDemandUpdate>,
     /// Nodes of that zone that the sender has not heard lately, with the work.
     #[serde(rename = "s", default, skip_serializing_if = "is_zero")]
     pub silent: usize,
--- a/crates/gateway/src/peers/zone_traffic.rs
+++ b/crates/gateway/src/peers/zone_traffic.rs
@@ -9,8 +9,8 @@
 
 use super::{EngineLoadNews, ZoneNews};
 use crate::engines::EngineLoad;
-use crate::placement::ReadingNews;
-use crate::quotas::{TenantKey, UsageNews};
+use crate::placement::PrefillDemandUpdate;
+use crate::quotas::{TenantKey, UsageUpdate};
 
 /// Work that was told longer ago has ended.
 const MOST_AGE_OF_LOADS: Duration = Duration::from_secs(2);
@@ -26,8 +26,8 @@
 struct Traffic {
     told_at: Timestamp,
     loads: Vec<EngineLoadNews>,
-    usages: Vec<UsageNews>,
-    reading: Vec<ReadingNews>,
+    usages: Vec<UsageUpdate>,
+    reading: Vec<PrefillDemandUpdate>,
     silent: usize,
 }
 
@@ -94,7 +94,7 @@
     pub fn add_usages_to(&self, sums: &mut HashMap<TenantKey, Others>, now: Timestamp) {
         for traffic in self.told_within(MOST_AGE_OF_USAGES, now) {
             let is_heard = now.since(traffic.told_at) < HEARD_WITHIN;
-            for UsageNews(tenant, usage) in &traffic.usages {
+            for UsageUpdate(tenant, usage) in &traffic.usages {
                 let sum = sums.entry(*tenant).or_default();
                 match is_heard {
                     true => sum.add_heard(*usage),
@@ -105,7 +105,7 @@
     }
 
     /// What nodes of other zones bring pools to read.
-    pub fn reading(&self, now: Timestamp) -> impl Iterator<Item = &ReadingNews> {
+    pub fn reading(&self, now: Timestamp) -> impl Iterator<Item = &PrefillDemandUpdate> {
         let told = self.told_within(MOST_AGE_OF_USAGES, now);
         told.flat_map(|traffic| &traffic.reading)
     }
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -15,26 +15,29 @@
 use crate::gateway::Gateway;
 
 /// Time between questions to one engine: each costs it some work, and events are late anyway.
-const ASK_INTERVAL: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time until a node looks again whether engines fall to it.
-const START_INTERVAL: Duration = Duration::from_millis(50);
+const ASSIGNMENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How far the caches of the engines that fall to this node have been followed.
 #[derive(Debug, Default)]
-struct Progress {
+struct PollState {
     /// Each counts in one life of its engine.
     cursors: BTreeMap<BackEndName, (Cursor, Option<Incarnation>)>,
-    asked: BTreeSet<BackEndName>,
+    in_flight: BTreeSet<BackEndName>,
 }
 
-impl Progress {
+impl PollState {
     /// Forgets the engines that fall to this node no longer; gives those that are to be asked now.
-    fn begin(&mut self, engines: Vec<(BackEndName, SocketAddr)>) -> Vec<(BackEndName, SocketAddr)> {
+    fn start_polls(
+        &mut self,
+        engines: Vec<(BackEndName, SocketAddr)>,
+    ) -> Vec<(BackEndName, SocketAddr)> {
         let is_followed = |name: &BackEndName| engines.iter().any(|(known, _)| known == name);
         self.cursors.retain(|name, _| is_followed(name));
         let due = engines.into_iter();
-        due.filter(|(name, _)| self.asked.insert(name.clone()))
+        due.filter(|(name, _)| self.in_flight.insert(name.clone()))
             .collect()
     }
 }
@@ -42,44 +45,46 @@
 /// Follows the caches of the engines that fall to this node, one question at a time to each, and
 /// tells the other nodes what was dropped; see docs/design/decisions.md.
 pub async fn watch_caches(gateway: Rc<Gateway>, feed: Rc<dyn CacheFeed>) {
-    let progress = Rc::new(RefCell::new(Progress::default()));
+    let polls = Rc::new(RefCell::new(PollState::default()));
     loop {
         let engines = gateway.caches_to_follow();
         // A node that was just started knows nothing, so it asks as soon as it can.
         let pause = match engines.is_empty() {
-            true => START_INTERVAL,
-            false => ASK_INTERVAL,
+            true => ASSIGNMENT_CHECK_INTERVAL,
+            false => POLL_INTERVAL,
         };
-        for (name, address) in progress.borrow_mut().begin(engines) {
+        for (name, address) in polls.borrow_mut().start_polls(engines) {
             let (gateway, feed) = (Rc::clone(&gateway), Rc::clone(&feed));
-            spawn_local(ask(gateway, feed, Rc::clone(&progress), name, address));
+            spawn_local(poll_engine(gateway, feed, Rc::clone(&polls), name, address));
         }
         sleep(pause).await;
     }
 }
 
-async fn ask(
+async fn poll_engine(
     gateway: Rc<Gateway>,
     feed: Rc<dyn CacheFeed>,
-    progress: Rc<RefCell<Progress>>,
+    polls: Rc<RefCell<PollState>>,
     engine: BackEndName,
     address: SocketAddr,
 ) {
-    let life = gateway.life_of(&engine);
-    let known = progress.borrow().cursors.get(&engine).copied();
-    let known = known.filter(|(_, counted_in)| *counted_in == life);
+    let incarnation = gateway.life_of(&engine);
+    let known = polls.borrow().cursors.get(&engine).copied();
+    let known = known.filter(|(_, counted_in)| *counted_in == incarnation);
     let since = known.map(|(cursor, _)| cursor);
-    let told = feed.changes(engine.clone(), address, since).await;
-    let mut progress = progress.borrow_mut();
-    progress.asked.remove(&engine);
-    let Some(told) = told else {
+    let response = feed.changes(engine.clone(), address, since).await;
+    let mut polls = polls.borrow_mut();
+    polls.in_flight.remove(&engine);
+    let Some(response) = response else {
         return;
     };
-    if gateway.life_of(&engine) != life {
+    if gateway.life_of(&engine) != incarnation {
         // It has begun again meanwhile: this may be about either life.
-        progress.cursors.remove(&engine);
+        polls.cursors.remove(&engine);
         return;
     }
-    progress.cursors.insert(engine.clone(), (told.next, life));
-    gateway.take_cache_changes(&engine, &told.changes, since.is_none());
+    polls
+        .cursors
+        .insert(engine.clone(), (response.next, incarnation));
+    gateway.take_cache_changes(&engine, &response.changes, since.is_none());
 }
--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -16,18 +16,18 @@
 
 use crate::catalogue::{EngineProfile, RoutingTable};
 use crate::engines::{Engine, EngineTable};
-use crate::places::{Distance, Places};
 use crate::release::EngineFilter;
 use crate::rollout::WeightsDeadlines;
+use crate::topology::{Distance, Topology};
 
 use self::sample::Sample;
 use super::{
-    CandidateCost, Division, HolderTable, KvFetch, KvStores, Placement, PlacementPrices,
-    PlacementRequest, Prompt, PromptKeys, PromptVersion, mostly_reads,
+    CandidateCost, HolderTable, KvFetch, KvStores, Placement, PlacementPrices, PlacementRequest,
+    PrefillSplit, Prompt, PromptForWeights, PromptKeys, is_prefill_heavy,
 };
 
 /// An engine that costs more than this is only taken when no other of all is better.
-const POOR_COST: f64 = 2.0;
+const MAX_SAMPLED_COST: f64 = 2.0;
 
 /// Chooses the engine with the least cost; ties go to the first in rendezvous order.
 #[derive(Debug)]
@@ -43,36 +43,36 @@
     /// Until when older weights may be used.
     pub deadlines: &'a WeightsDeadlines,
     /// Longest time that requests of the pool took to begin lately.
-    pub slowest_begin: Duration,
+    pub max_recent_start_delay: Duration,
     /// Prices.
     pub prices: &'a PlacementPrices,
     /// Which engines of the pool are kept for requests that mostly read; `None` where all take all.
-    pub division: Option<&'a Division>,
+    pub prefill_split: Option<&'a PrefillSplit>,
     /// Whether there are so many nodes that what is known of engines is shared by many choices at
     /// once.
     pub is_large: bool,
     /// The zone of this process.
     pub zone: &'a ZoneName,
     /// Which zone lies in which region.
-    pub places: &'a Places,
+    pub topology: &'a Topology,
     /// Now.
     pub now: Timestamp,
 }
 
 /// What becomes of engines that fail requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failing {
+pub enum UnhealthyEngines {
     /// When no other engine takes the request, any of them does.
-    BetterThanNone,
+    LastResort,
     /// They get nothing: there are other engines for the request.
-    PassedOver,
+    Excluded,
 }
 
 struct Candidate<'a> {
     engine: &'a Engine,
-    version: Option<&'a PromptVersion>,
+    version: Option<&'a PromptForWeights>,
     cached_tokens: u32,
-    unread_tokens: u32,
+    prefill_tokens: u32,
     fetch: Option<KvFetch>,
     save_to: Option<SocketAddr>,
     cost: CandidateCost,
@@ -82,38 +82,39 @@
 impl Chooser<'_> {
     /// The engine with the least cost, or `None` when no engine may take the request.
     pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<Placement> {
-        self.choose_among(request, &EngineFilter::Any, Failing::BetterThanNone)
+        self.choose_among(request, &EngineFilter::Any, UnhealthyEngines::LastResort)
     }
 
     /// The same among the engines that take the request, as far as releases are concerned.
     pub fn choose_among(
         &self,
         request: &PlacementRequest<'_>,
-        intake: &EngineFilter,
-        failing: Failing,
+        filter: &EngineFilter,
+        unhealthy: UnhealthyEngines,
     ) -> Option<Placement> {
         let profile = self.table.pool(request.pool)?.engine.as_ref();
-        let versions = self.versions(request, intake);
-        let sample = Sample::draw(self, request, &versions, intake);
-        let is_healthy = |engine: &Engine| intake.admits(&engine.entry) && self.is_healthy(engine);
-        let known = self.known_holders(&versions);
+        let versions = self.versions(request, filter);
+        let sample = Sample::draw(self, request, &versions, filter);
+        let is_healthy = |engine: &Engine| filter.admits(&engine.entry) && self.is_healthy(engine);
+        let known = self.all_holders(&versions);
         let is_sampled = |engine: &Engine| {
             let is_known = || {
                 versions.iter().any(|version| {
-                    let is_first = version.is_of(engine) && version.is_first_reader(engine);
-                    is_first
+                    let is_home = version.has_weights_of(engine) && version.is_home_engine(engine);
+                    is_home
                         || known.contains(&engine.entry.name) && self.holds_prefix(engine, version)
                 })
             };
-            (sample.holds(engine) || is_known()) && is_healthy(engine)
+            (sample.includes(engine) || is_known()) && is_healthy(engine)
+        };
+        let is_any = |engine: &Engine| {
+            unhealthy == UnhealthyEngines::LastResort && filter.admits(&engine.entry)
         };
-        let is_any =
-            |engine: &Engine| failing == Failing::BetterThanNone && intake.admits(&engine.entry);
         let best = sample
             .is_limited()
             .then(|| self.best(request, profile, &versions, is_sampled))
             .flatten()
-            .filter(|best| best.cost.total() < POOR_COST)
+            .filter(|best| best.cost.total() < MAX_SAMPLED_COST)
             .or_else(|| self.best(request, profile, &versions, is_healthy))
             // When all engines fail requests, any of them is better than none.
             .or_else(|| self.best(request, profile, &versions, is_any))?;
@@ -127,7 +128,7 @@
                 .version
                 .map_or_else(PromptKeys::default, |version| version.keys.clone()),
             cached_tokens: best.cached_tokens,
-            unread_tokens: best.unread_tokens,
+            prefill_tokens: best.prefill_tokens,
             fetch: best.fetch,
             save_to: best.save_to,
             cost: best.cost,
@@ -138,15 +139,15 @@
         &'b self,
         request: &PlacementRequest<'_>,
         profile: Option<&EngineProfile>,
-        versions: &'b [PromptVersion],
+        versions: &'b [PromptForWeights],
         is_allowed: impl Fn(&Engine) -> bool,
     ) -> Option<Candidate<'b>> {
         // What barred engines don't take would push the others beyond their room, and fail there for all.
-        let is_pressed = self.has_barred_engines(request.pool);
+        let skip_full = self.has_excluded_engines(request.pool);
         self.engines
             .of_pool(request.pool)
             .filter(|engine| engine.takes_work(self.now))
-            .filter(|engine| !is_pressed || !is_full(engine, profile))
+            .filter(|engine| !skip_full || !is_full(engine, profile))
             .filter(|engine| !request.tried.contains(&engine.entry.name))
             .filter(|engine| is_allowed(engine))
             .filter_map(|engine| self.candidate(engine, profile, versions, request))
@@ -157,7 +158,7 @@
     }
 
     /// Whether some engines of a pool want less than they are asked for, so that the others are asked for more.
-    fn has_barred_engines(&self, pool: &PoolName) -> bool {
+    fn has_excluded_engines(&self, pool: &PoolName) -> bool {
         let mut engines = self.engines.of_pool(pool);
         engines.any(|engine| {
             let bar = engine.condition.bar(self.now);
@@ -167,29 +168,33 @@
 
     /// Engines that are known to hold some of a prompt, under whichever weights they had: few, so that not each engine
     /// of a large pool has to be sought among the holders.
-    fn known_holders(&self, versions: &[PromptVersion]) -> HashSet<&BackEndName> {
+    fn all_holders(&self, versions: &[PromptForWeights]) -> HashSet<&BackEndName> {
         let keys = versions.iter().flat_map(|version| &version.keys.0);
         let holders = keys.flat_map(|(key, _)| self.holders.of(*key));
         holders.map(|(name, _)| name).collect()
     }
 
     /// Whether an engine is known to hold some of a prompt.
-    fn holds_prefix(&self, engine: &Engine, version: &PromptVersion) -> bool {
-        version.is_of(engine) && self.held_tokens(engine, &version.keys) > 0
+    fn holds_prefix(&self, engine: &Engine, version: &PromptForWeights) -> bool {
+        version.has_weights_of(engine) && self.held_tokens(engine, &version.keys) > 0
     }
 
     /// The newest weights of a prompt's model, while engines have older ones that count as stale.
-    fn replacing_weights(&self, versions: &[PromptVersion], prompt: &Prompt) -> Option<u64> {
+    fn newest_weights_during_rollout(
+        &self,
+        versions: &[PromptForWeights],
+        prompt: &Prompt,
+    ) -> Option<u64> {
         let weights = || versions.iter().map(|version| version.weights);
         let mut stale = weights().filter(|weights| self.stale_cost(&prompt.model, *weights) > 0.0);
         stale.next().and(weights().max())
     }
 
     /// Whether an engine is kept for requests of this kind, or for all.
-    fn is_for(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
-        match (self.division, request.prompt) {
-            (Some(division), Some(prompt)) => {
-                division.reads(engine) == mostly_reads(prompt, self.prices)
+    fn is_reserved_for(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
+        match (self.prefill_split, request.prompt) {
+            (Some(prefill_split), Some(prompt)) => {
+                prefill_split.prefills(engine) == is_prefill_heavy(prompt, self.prices)
             }
             _ => true,
         }
@@ -197,7 +202,7 @@
 
     /// How far an engine is from this process.
     fn distance(&self, engine: &Engine) -> Distance {
-        self.places.between(self.zone, &engine.entry.zone)
+        self.topology.distance(self.zone, &engine.entry.zone)
     }
 
     fn is_healthy(&self, engine: &Engine) -> bool {
@@ -208,7 +213,7 @@
         &self,
         engine: &'b Engine,
         profile: Option<&EngineProfile>,
-        versions: &'b [PromptVersion],
+        versions: &'b [PromptForWeights],
         request: &PlacementRequest<'_>,
     ) -> Option<Candidate<'b>> {
         match (request.prompt, profile) {
@@ -227,7 +232,8 @@
         let slots = f64::from(engine.entry.slots.max(1));
         let occupied = f64::from(engine.load().requests) / slots;
         let cost = CandidateCost {
-            late: occupied * occupied * self.prices.at_target + self.delay_cost(engine, request),
+            late: occupied * occupied * self.prices.first_token_at_target
+                + self.delay_cost(engine, request),
             zone: self.zone_cost(engine, request),
             load: self.state_cost(engine),
             ..CandidateCost::default()
@@ -236,7 +242,7 @@
             engine,
             version: None,
             cached_tokens: 0,
-            unread_tokens: 0,
+            prefill_tokens: 0,
             fetch: None,
             save_to: None,
             cost,
@@ -249,7 +255,7 @@
         engine: &'b Engine,
         prompt: &Prompt,
         profile: &EngineProfile,
-        versions: &'b [PromptVersion],
+        versions: &'b [PromptForWeights],
         request: &PlacementRequest<'_>,
     ) -> Option<Candidate<'b>> {
         let weights = engine.serving_weights_of(&prompt.model)?;
@@ -259,30 +265,30 @@
         let fetch = self.best_fetch(engine, version, cached_tokens);
         let fetched = fetch.as_ref().map_or(0, |fetch| fetch.tokens);
         let known = cached_tokens + fetched;
-        let unread_tokens = prompt.prompt_tokens.saturating_sub(known).max(1);
-        let begins_at = self.now.after(self.begins_in(engine, unread_tokens));
-        if !self.deadlines.allows(&prompt.model, weights, begins_at) {
+        let prefill_tokens = prompt.prompt_tokens.saturating_sub(known).max(1);
+        let starts_at = self.now.after(self.max_start_delay(engine, prefill_tokens));
+        if !self.deadlines.allows(&prompt.model, weights, starts_at) {
             return None;
         }
         let mut cost = CandidateCost {
-            late: self.lateness(engine, profile, unread_tokens, fetch.as_ref(), request),
-            pauses: self.pause_cost(engine, unread_tokens, request),
+            late: self.first_token_cost(engine, profile, prefill_tokens, fetch.as_ref(), request),
+            pauses: self.pause_cost(engine, prefill_tokens, request),
             stale: self.stale_cost(&prompt.model, weights),
             zone: self.zone_cost(engine, request),
-            load: self.state_cost(engine) + self.crowding(engine, profile, prompt),
+            load: self.state_cost(engine) + self.occupancy_cost(engine, profile, prompt),
             ..CandidateCost::default()
         };
         if let Some(fetch) = &fetch {
             cost.moved = self.move_cost(engine, fetch, profile);
         }
-        cost.reread = self.read_twice_cost(engine, version, known);
+        cost.reread = self.duplicate_prefill_cost(engine, version, known);
         Some(Candidate {
             engine,
             version: Some(version),
             save_to: self.save_to(engine, keys),
             order: version.order_of(engine),
             cached_tokens,
-            unread_tokens,
+            prefill_tokens,
             fetch,
             cost,
         })
@@ -292,27 +298,27 @@
     fn versions(
         &self,
         request: &PlacementRequest<'_>,
-        intake: &EngineFilter,
-    ) -> Vec<PromptVersion> {
-        let mut versions: Vec<PromptVersion> = Vec::new();
+        filter: &EngineFilter,
+    ) -> Vec<PromptForWeights> {
+        let mut versions: Vec<PromptForWeights> = Vec::new();
         let Some(prompt) = request.prompt else {
             return versions;
         };
-        let has_regions = self.places.has_regions();
+        let has_regions = self.topology.has_regions();
         for engine in self.engines.of_pool(request.pool) {
             let Some(weights) = engine.serving_weights_of(&prompt.model) else {
                 continue;
             };
             let known = versions.iter().position(|known| known.weights == weights);
             let index = known.unwrap_or_else(|| {
-                versions.push(PromptVersion::new(prompt, request, weights, has_regions));
+                versions.push(PromptForWeights::new(prompt, request, weights, has_regions));
                 versions.len() - 1
             });
-            let may_read_first = engine.takes_work(self.now)
+            let may_be_home = engine.takes_work(self.now)
                 && self.is_healthy(engine)
-                && intake.admits(&engine.entry);
-            if may_read_first && self.is_for(engine, request) {
-                versions[index].consider_first_reader(engine, self.distance(engine));
+                && filter.admits(&engine.entry);
+            if may_be_home && self.is_reserved_for(engine, request) {
+                versions[index].consider_home_engine(engine, self.distance(engine));
             }
         }
         versions
--- a/crates/gateway/src/placement/chooser/costs.rs
+++ b/crates/gateway/src/placement/chooser/costs.rs
@@ -9,18 +9,18 @@
 use crate::catalogue::EngineProfile;
 use crate::engines::Engine;
 use crate::placement::{
-    KvFetch, KvHolder, LEAST_SAVED_TOKENS, PlacementRequest, Prompt, PromptVersion,
+    KvFetch, KvHolder, MIN_SAVED_TOKENS, PlacementRequest, Prompt, PromptForWeights,
 };
-use crate::places::Distance;
+use crate::topology::Distance;
 
 const BYTES_PER_GIGABYTE: f64 = 1e9;
 const BYTES_PER_KILOBYTE: f64 = 1e3;
 /// Bits in a megabit, and milliseconds in a second.
-const BITS_PER_MS_AND_MEGABIT: f64 = 1e3;
+const BITS_PER_MS_PER_MEGABIT_PER_S: f64 = 1e3;
 /// A move of KV cache takes so many times as long between two zones of a region as within one, and
 /// between regions (the engines' operators).
-const MOVE_TIMES_IN_REGION: f64 = 2.0;
-const MOVE_TIMES_REMOTE: f64 = 10.0;
+const MOVE_FACTOR_IN_REGION: f64 = 2.0;
+const MOVE_FACTOR_REMOTE: f64 = 10.0;
 /// Cost of an engine that is tried only to find out whether it serves again.
 const PROBE_COST: f64 = 0.5;
 /// Cost of an engine that is not in the list any more but may still serve.
@@ -33,44 +33,45 @@
 
 impl Chooser<'_> {
     /// Cost of reading shared parts that nobody is known to hold elsewhere than all nodes would.
-    pub(super) fn read_twice_cost(
+    pub(super) fn duplicate_prefill_cost(
         &self,
         engine: &Engine,
-        version: &PromptVersion,
+        version: &PromptForWeights,
         known: u32,
     ) -> f64 {
         let missing = version.shared_tokens().saturating_sub(known);
-        if version.is_first_reader(engine) {
+        if version.is_home_engine(engine) {
             return 0.0;
         }
         // Nobody tells of small parts, so whoever shares them has sent them to the first reader.
         let risk = match version.is_small() {
             true => 1.0,
-            false if missing < LEAST_SAVED_TOKENS => 0.0,
-            false => self.prices.read_twice_risk,
+            false if missing < MIN_SAVED_TOKENS => 0.0,
+            false => self.prices.duplicate_prefill_risk,
         };
-        f64::from(missing) * self.prices.reread_token * risk
+        f64::from(missing) * self.prices.reprefill_token * risk
     }
 
     /// Longest time until a request begins there (estimate, on the safe side).
-    pub(super) fn begins_in(&self, engine: &Engine, unread_tokens: u32) -> Duration {
-        let queued = f64::from(engine.load().unread_tokens) + f64::from(unread_tokens);
-        let estimate = Duration::from_secs_f64(2.0 * queued / self.prices.read_tokens_per_ms / 1e3);
-        estimate.max(self.slowest_begin)
+    pub(super) fn max_start_delay(&self, engine: &Engine, prefill_tokens: u32) -> Duration {
+        let queued = f64::from(engine.load().prefill_tokens) + f64::from(prefill_tokens);
+        let estimate =
+            Duration::from_secs_f64(2.0 * queued / self.prices.prefill_tokens_per_ms / 1e3);
+        estimate.max(self.max_recent_start_delay)
     }
 
-    pub(super) fn lateness(
+    pub(super) fn first_token_cost(
         &self,
         engine: &Engine,
         profile: &EngineProfile,
-        unread_tokens: u32,
+        prefill_tokens: u32,
         fetch: Option<&KvFetch>,
         request: &PlacementRequest<'_>,
     ) -> f64 {
-        let queued = f64::from(engine.load().unread_tokens) + f64::from(unread_tokens);
-        let read_ms = queued / self.prices.read_tokens_per_ms;
+        let queued = f64::from(engine.load().prefill_tokens) + f64::from(prefill_tokens);
+        let prefill_ms = queued / self.prices.prefill_tokens_per_ms;
         let fetch_ms = fetch.map_or(0.0, |fetch| self.fetch_ms(engine, fetch, profile));
-        self.late_cost(read_ms + fetch_ms + self.delay_ms(engine), request)
+        self.late_cost(prefill_ms + fetch_ms + self.delay_ms(engine), request)
     }
 
     /// Cost of the way to an engine that is otherwise idle.
@@ -82,7 +83,7 @@
     fn late_cost(&self, first_token_ms: f64, request: &PlacementRequest<'_>) -> f64 {
         let target_ms = request.target_latency.as_secs_f64().max(0.001) * 1e3;
         let share = first_token_ms / target_ms;
-        share * share * self.prices.at_target
+        share * share * self.prices.first_token_at_target
     }
 
     /// Time that a request and its answer are on the way to an engine of another region.
@@ -95,11 +96,11 @@
 
     fn fetch_ms(&self, engine: &Engine, fetch: &KvFetch, profile: &EngineProfile) -> f64 {
         let bits = f64::from(fetch.tokens) * profile.kv_token_bytes * 8.0;
-        let bits_per_ms = profile.link_megabits.max(1.0) * BITS_PER_MS_AND_MEGABIT;
+        let bits_per_ms = profile.link_megabits.max(1.0) * BITS_PER_MS_PER_MEGABIT_PER_S;
         let times = match self.fetch_distance(engine, fetch) {
             Distance::Near => 1.0,
-            Distance::SameRegion => MOVE_TIMES_IN_REGION,
-            Distance::Remote => MOVE_TIMES_REMOTE,
+            Distance::SameRegion => MOVE_FACTOR_IN_REGION,
+            Distance::Remote => MOVE_FACTOR_REMOTE,
         };
         times * bits / bits_per_ms
     }
@@ -112,7 +113,7 @@
             KvHolder::Store => self.zone_of_store(fetch.address),
         };
         zone.map_or(Distance::SameRegion, |zone| {
-            self.places.between(zone, &engine.entry.zone)
+            self.topology.distance(zone, &engine.entry.zone)
         })
     }
 
@@ -122,27 +123,28 @@
     pub(super) fn pause_cost(
         &self,
         engine: &Engine,
-        unread_tokens: u32,
+        prefill_tokens: u32,
         request: &PlacementRequest<'_>,
     ) -> f64 {
         let Some(longest) = self.table.longest_pause(request.pool) else {
             return 0.0;
         };
-        let misplaced = match self.is_for(engine, request) {
+        let wrong_split_side = match self.is_reserved_for(engine, request) {
             true => 0.0,
-            false => self.prices.misplaced,
+            false => self.prices.wrong_split_side,
         };
         let load = engine.load();
-        let before = self.pause_risk(load.unread_tokens, longest);
-        let after = self.pause_risk(load.unread_tokens.saturating_add(unread_tokens), longest);
-        misplaced + f64::from(load.requests) * (after - before) * self.prices.at_target
+        let before = self.pause_risk(load.prefill_tokens, longest);
+        let after = self.pause_risk(load.prefill_tokens.saturating_add(prefill_tokens), longest);
+        wrong_split_side
+            + f64::from(load.requests) * (after - before) * self.prices.first_token_at_target
     }
 
     /// Share of streams that pause for longer than they should while so many tokens are read.
     fn pause_risk(&self, tokens: u32, longest: Duration) -> f64 {
-        let read_ms = f64::from(tokens) / self.prices.read_tokens_per_ms;
+        let prefill_ms = f64::from(tokens) / self.prices.prefill_tokens_per_ms;
         let longest_ms = longest.as_secs_f64().max(0.001) * 1e3;
-        (PAUSE_RISK * (read_ms / longest_ms).powi(3)).min(1.0)
+        (PAUSE_RISK * (prefill_ms / longest_ms).powi(3)).min(1.0)
     }
 
     /// Cost of beginning on weights that newer ones have replaced, so that requests gather at the
@@ -156,8 +158,8 @@
     pub(super) fn zone_cost(&self, engine: &Engine, request: &PlacementRequest<'_>) -> f64 {
         let price = match self.distance(engine) {
             Distance::Near => return 0.0,
-            Distance::SameRegion => self.prices.kilobyte_across,
-            Distance::Remote => self.prices.kilobyte_remote,
+            Distance::SameRegion => self.prices.kilobyte_across_zones,
+            Distance::Remote => self.prices.kilobyte_across_regions,
         };
         let kilobytes = (request.body_bytes as f64 / BYTES_PER_KILOBYTE).max(1.0);
         kilobytes * price
@@ -172,11 +174,11 @@
         let gigabytes = f64::from(fetch.tokens) * profile.kv_token_bytes / BYTES_PER_GIGABYTE;
         let price = match self.fetch_distance(engine, fetch) {
             Distance::Near => self.prices.moved_gigabyte,
-            Distance::SameRegion => self.prices.moved_gigabyte_across,
-            Distance::Remote => self.prices.moved_gigabyte_remote,
+            Distance::SameRegion => self.prices.moved_gigabyte_across_zones,
+            Distance::Remote => self.prices.moved_gigabyte_across_regions,
         };
         let displaced = f64::from(fetch.tokens) * self.prices.displaced_share;
-        gigabytes * price + displaced * self.prices.reread_token
+        gigabytes * price + displaced * self.prices.reprefill_token
     }
 
     fn zone_of_store(&self, address: SocketAddr) -> Option<&ZoneName> {
@@ -186,7 +188,7 @@
     }
 
     /// Slots and KV memory in use; memory counts more the nearer it is to its end.
-    pub(super) fn crowding(
+    pub(super) fn occupancy_cost(
         &self,
         engine: &Engine,
         profile: &EngineProfile,
@@ -197,8 +199,8 @@
         let occupied = f64::from(load.requests) / slots * self.prices.occupied;
         let needed = load.kv_tokens.saturating_add(prompt.prompt_tokens);
         let share = f64::from(needed) / f64::from(profile.kv_tokens.max(1));
-        let beyond = (share - self.prices.crowded_share).max(0.0);
-        occupied + beyond * self.prices.crowded
+        let beyond = (share - self.prices.kv_high_share).max(0.0);
+        occupied + beyond * self.prices.kv_overuse
     }
 
     pub(super) fn state_cost(&self, engine: &Engine) -> f64 {
--- a/crates/gateway/src/placement/chooser/sample.rs
+++ b/crates/gateway/src/placement/chooser/sample.rs
@@ -9,13 +9,13 @@
 use super::Chooser;
 use crate::engines::Engine;
 use crate::placement::PlacementRequest;
-use crate::placement::prompt_version::PromptVersion;
+use crate::placement::prompt_for_weights::PromptForWeights;
 use crate::release::EngineFilter;
 
 /// Engines of the own zone that are compared.
-const MOST_NEAR: usize = 4;
+const MAX_NEAR_ENGINES: usize = 4;
 /// Engines of other zones that are compared.
-const MOST_FAR: usize = 2;
+const MAX_FAR_ENGINES: usize = 2;
 
 /// The engines that are compared for one request.
 ///
@@ -35,29 +35,31 @@
     pub(super) fn draw(
         chooser: &Chooser<'_>,
         request: &PlacementRequest<'_>,
-        versions: &[PromptVersion],
-        intake: &EngineFilter,
+        versions: &[PromptForWeights],
+        filter: &EngineFilter,
     ) -> Self {
         if !chooser.is_large {
             return Self { engines: None };
         }
         let prompt = request.prompt;
-        let newest = prompt.and_then(|prompt| chooser.replacing_weights(versions, prompt));
+        let newest =
+            prompt.and_then(|prompt| chooser.newest_weights_during_rollout(versions, prompt));
         let has_newest = |engine: &Engine| {
             let weights = prompt.and_then(|prompt| engine.serving_weights_of(&prompt.model));
             newest.is_some() && weights == newest
         };
         let key = xxh3_64(request.id.as_bytes());
-        let able = chooser.engines.of_pool(request.pool);
-        let able = able.filter(|engine| engine.takes_work(chooser.now));
-        let able = able.filter(|engine| intake.admits(&engine.entry));
-        let able = able.filter(|engine| chooser.is_for(engine, request) || has_newest(engine));
+        let eligible = chooser.engines.of_pool(request.pool);
+        let eligible = eligible.filter(|engine| engine.takes_work(chooser.now));
+        let eligible = eligible.filter(|engine| filter.admits(&engine.entry));
+        let eligible = eligible
+            .filter(|engine| chooser.is_reserved_for(engine, request) || has_newest(engine));
         let (mut near, mut far): (Vec<_>, Vec<_>) =
-            able.partition(|engine| engine.entry.zone == *chooser.zone);
+            eligible.partition(|engine| engine.entry.zone == *chooser.zone);
         let order = |engine: &&Engine| rendezvous_score(key, engine.name_hash);
-        keep_first(&mut near, MOST_NEAR, order);
+        keep_first(&mut near, MAX_NEAR_ENGINES, order);
         // Those of other regions come last: they are far for every request.
-        keep_first(&mut far, MOST_FAR, |engine| {
+        keep_first(&mut far, MAX_FAR_ENGINES, |engine| {
             (chooser.distance(engine), order(engine))
         });
         let drawn = near.iter().chain(&far);
@@ -73,7 +75,7 @@
     }
 
     /// Whether an engine is compared.
-    pub(super) fn holds(&self, engine: &Engine) -> bool {
+    pub(super) fn includes(&self, engine: &Engine) -> bool {
         let engines = self.engines.as_ref();
         engines.is_none_or(|engines| engines.contains(&engine.entry.name))
     }
--- a/crates/gateway/src/placement/chooser/sources.rs
+++ b/crates/gateway/src/placement/chooser/sources.rs
@@ -10,16 +10,16 @@
 use super::Chooser;
 use crate::catalogue::KvStoreProfile;
 use crate::engines::Engine;
-use crate::placement::prompt_version::PromptVersion;
-use crate::placement::{KvFetch, KvHolder, LEAST_SAVED_TOKENS, PartKey, PromptKeys};
-use crate::places::Distance;
+use crate::placement::prompt_for_weights::PromptForWeights;
+use crate::placement::{KvFetch, KvHolder, MIN_SAVED_TOKENS, PartKey, PromptKeys};
+use crate::topology::Distance;
 
 /// Fewest tokens that are worth fetching.
-const LEAST_FETCHED_TOKENS: u32 = 64;
+const MIN_FETCHED_TOKENS: u32 = 64;
 /// An engine that used a part within this time has it still.
-const LATELY: Duration = Duration::from_secs(2);
+const RECENT_USE: Duration = Duration::from_secs(2);
 /// A part that was saved is expected in the store for so long.
-const STORED_FOR: Duration = Duration::from_secs(20);
+const STORE_RETENTION: Duration = Duration::from_secs(20);
 
 impl Chooser<'_> {
     /// Tokens of the longest prefix that an engine is known to hold.
@@ -37,58 +37,60 @@
     pub(super) fn best_fetch(
         &self,
         engine: &Engine,
-        version: &PromptVersion,
+        version: &PromptForWeights,
         cached: u32,
     ) -> Option<KvFetch> {
         let keys = &version.keys;
         for (key, tokens) in keys.0.iter().rev() {
-            if tokens.saturating_sub(cached) < LEAST_FETCHED_TOKENS {
-                return self.fetch_in_case(engine, keys);
+            if tokens.saturating_sub(cached) < MIN_FETCHED_TOKENS {
+                return self.fetch_if_missing(engine, keys);
             }
             let tokens = tokens - cached;
-            let lender = self.best_lender(engine, *key, version);
-            if let Some((lender, used_at)) = lender
-                && self.now.since(used_at) < LATELY
+            let holder = self.best_holder(engine, *key, version);
+            if let Some((holder, used_at)) = holder
+                && self.now.since(used_at) < RECENT_USE
             {
-                return Some(fetch_from(lender, tokens));
+                return Some(fetch_from(holder, tokens));
             }
             if self.is_stored(*key, engine, keys) {
                 return self.fetch_from_store(engine, keys, tokens);
             }
-            if let Some((lender, _)) = lender {
-                return Some(fetch_from(lender, tokens));
+            if let Some((holder, _)) = holder {
+                return Some(fetch_from(holder, tokens));
             }
         }
         // Nobody is known to hold any of it, but earlier processes may have saved it.
-        self.fetch_in_case(engine, keys)
+        self.fetch_if_missing(engine, keys)
     }
 
     /// An engine that should have all shared parts may have dropped some: then it asks the store,
     /// else nothing moves.
-    pub(super) fn fetch_in_case(&self, engine: &Engine, keys: &PromptKeys) -> Option<KvFetch> {
+    pub(super) fn fetch_if_missing(&self, engine: &Engine, keys: &PromptKeys) -> Option<KvFetch> {
         let shared = keys.shared().last().map_or(0, |(_, tokens)| *tokens);
-        let is_worth = shared >= LEAST_SAVED_TOKENS;
+        let is_worth = shared >= MIN_SAVED_TOKENS;
         is_worth
             .then(|| self.fetch_from_store(engine, keys, 0))
             .flatten()
     }
 
-    pub(super) fn best_lender(
+    pub(super) fn best_holder(
         &self,
         engine: &Engine,
         key: PartKey,
-        version: &PromptVersion,
+        version: &PromptForWeights,
     ) -> Option<(&Engine, Timestamp)> {
         let holders = self.holders.of(key);
         holders
             .filter_map(|(name, used_at)| Some((self.engines.get(name)?, used_at)))
-            .filter(|(holder, _)| self.may_lend(holder, engine))
+            .filter(|(holder, _)| self.can_export_to(holder, engine))
             // An engine that has loaded other weights since has dropped what it held.
-            .filter(|(holder, _)| version.is_of(holder))
+            .filter(|(holder, _)| version.has_weights_of(holder))
             .max_by_key(|(holder, used_at)| {
-                let is_late = self.now.since(*used_at) < LATELY;
-                let distance = self.places.between(&holder.entry.zone, &engine.entry.zone);
-                (is_late, Reverse(distance), *used_at)
+                let is_recent = self.now.since(*used_at) < RECENT_USE;
+                let distance = self
+                    .topology
+                    .distance(&holder.entry.zone, &engine.entry.zone);
+                (is_recent, Reverse(distance), *used_at)
             })
     }
 
@@ -101,7 +103,7 @@
         let stores = self.table.kv_stores().iter();
         let up = stores.filter(|store| self.kv_stores.is_up(store.address));
         up.max_by_key(|store| {
-            let distance = self.places.between(&engine.entry.zone, &store.zone);
+            let distance = self.topology.distance(&engine.entry.zone, &store.zone);
             let score = rendezvous_score(key.0, store.hash());
             (distance < Distance::Remote, score)
         })
@@ -110,7 +112,7 @@
     fn is_stored(&self, key: PartKey, engine: &Engine, keys: &PromptKeys) -> bool {
         let store = self.store_of(engine, keys);
         let stored_at = store.and_then(|store| self.holders.stored_at(key, store.address));
-        stored_at.is_some_and(|at| self.now.since(at) < STORED_FOR)
+        stored_at.is_some_and(|at| self.now.since(at) < STORE_RETENTION)
     }
 
     fn fetch_from_store(&self, engine: &Engine, keys: &PromptKeys, tokens: u32) -> Option<KvFetch> {
@@ -125,13 +127,13 @@
     /// Shared parts that are worth it are saved once, by whoever reads them.
     pub(super) fn save_to(&self, engine: &Engine, keys: &PromptKeys) -> Option<SocketAddr> {
         let (key, tokens) = keys.shared().last()?;
-        let is_worth = *tokens >= LEAST_SAVED_TOKENS && !self.is_stored(*key, engine, keys);
+        let is_worth = *tokens >= MIN_SAVED_TOKENS && !self.is_stored(*key, engine, keys);
         let store = self.store_of(engine, keys)?;
         is_worth.then_some(store.address)
     }
 
-    pub(super) fn may_lend(&self, holder: &Engine, borrower: &Engine) -> bool {
-        let is_other = holder.entry.name != borrower.entry.name;
+    pub(super) fn can_export_to(&self, holder: &Engine, receiver: &Engine) -> bool {
+        let is_other = holder.entry.name != receiver.entry.name;
         is_other
             && !holder.is_loading(self.now)
             && holder.health.is_serving()
@@ -139,10 +141,10 @@
     }
 }
 
-fn fetch_from(lender: &Engine, tokens: u32) -> KvFetch {
+fn fetch_from(holder: &Engine, tokens: u32) -> KvFetch {
     KvFetch {
-        holder: KvHolder::Engine(lender.entry.name.clone()),
-        address: lender.entry.address,
+        holder: KvHolder::Engine(holder.entry.name.clone()),
+        address: holder.entry.address,
         tokens,
     }
 }
--- a/crates/gateway/src/placement/holder_table.rs
+++ b/crates/gateway/src/placement/holder_table.rs
@@ -9,7 +9,7 @@
 use super::PartKey;
 
 /// Most holders that are remembered of one prefix, the latest ones.
-const MOST_HOLDERS: usize = 6;
+const MAX_HOLDERS: usize = 6;
 
 /// Name under which a store of kept KV cache stands in the table.
 pub fn store_holder_name(address: SocketAddr) -> BackEndName {
@@ -21,7 +21,7 @@
     engine: BackEndName,
     used_at: Timestamp,
     /// Whether other nodes know of it too.
-    is_told: bool,
+    is_announced: bool,
 }
 
 /// Which engines read or fetched which prefixes lately; bounded, the longest unused go first.
@@ -46,33 +46,33 @@
     }
 
     /// `engine` used the prefix at `at`, which no other node is told.
-    pub fn note_untold(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
+    pub fn note_local(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
         self.insert(key, engine, at, false);
     }
 
-    fn insert(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp, is_told: bool) {
+    fn insert(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp, is_announced: bool) {
         if !self.holders.contains_key(&key) && self.holders.len() >= self.capacity {
             self.forget_oldest();
         }
         let holders = self.holders.entry(key).or_default();
         if let Some(known) = holders.iter_mut().find(|known| known.engine == *engine) {
             known.used_at = known.used_at.max(at);
-            known.is_told |= is_told;
+            known.is_announced |= is_announced;
             return;
         }
-        if holders.len() >= MOST_HOLDERS {
+        if holders.len() >= MAX_HOLDERS {
             let oldest = (0..holders.len()).min_by_key(|&index| holders[index].used_at);
             holders.swap_remove(oldest.unwrap_or_default());
         }
         holders.push(Holder {
             engine: engine.clone(),
             used_at: at,
-            is_told,
+            is_announced,
         });
     }
 
     /// Whether anything is known of the prefix.
-    pub fn knows(&self, key: PartKey) -> bool {
+    pub fn contains(&self, key: PartKey) -> bool {
         self.holders.contains_key(&key)
     }
 
@@ -107,7 +107,7 @@
             return false;
         };
         let position = holders.iter().position(|holder| holder.engine == *engine);
-        position.is_some_and(|position| holders.swap_remove(position).is_told)
+        position.is_some_and(|position| holders.swap_remove(position).is_announced)
     }
 
     /// Drops the eighth of the prefixes that were unused longest, so that this is done seldom.
--- a/crates/gateway/src/placement/kv_store_watch.rs
+++ b/crates/gateway/src/placement/kv_store_watch.rs
@@ -11,7 +11,7 @@
 use crate::peers::{KvStoreNews, KvStoreState};
 
 /// Time between questions.
-const ASK_INTERVAL: Duration = Duration::from_millis(1_000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The port to the store of kept KV cache.
 pub trait KvStoreProbe {
@@ -23,7 +23,7 @@
 /// was restarted is empty, so what it is believed to hold must be saved again.
 pub async fn watch_kv_store(gateway: Rc<Gateway>, probe: Rc<dyn KvStoreProbe>) {
     loop {
-        sleep(ASK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
         for address in gateway.kv_stores_to_ask() {
             // One lost answer may be the network's; two in a row are the store's.
             let first = probe.epoch(address).await;
--- a/crates/gateway/src/placement/kv_stores.rs
+++ b/crates/gateway/src/placement/kv_stores.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreChange {
     /// Nothing new.
-    None,
+    Unchanged,
     /// It answers now, or does not any more.
-    Reached(bool),
+    ReachabilityChanged(bool),
     /// It has another life, so what it held before is gone.
     Restarted {
         /// The life before.
@@ -51,8 +51,8 @@
             }
         }
         match self.is_up(address) {
-            is_up if is_up != was_up => StoreChange::Reached(is_up),
-            _ => StoreChange::None,
+            is_up if is_up != was_up => StoreChange::ReachabilityChanged(is_up),
+            _ => StoreChange::Unchanged,
         }
     }
 }
--- a/crates/gateway/src/placement/reading_demand.rs
+++ b/crates/gateway/src/placement/prefill_demand.rs
@@ -10,32 +10,35 @@
 
 /// Demand is averaged over this time: long enough that the division of engines does not follow
 /// single prompts, short enough to follow a burst.
-const SPAN: Duration = Duration::from_secs(4);
+const AVERAGING_TIME: Duration = Duration::from_secs(4);
 
 /// Prompt tokens a second that requests which mostly read bring to a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadingNews(pub PoolName, pub u32);
+pub struct PrefillDemandUpdate(pub PoolName, pub u32);
 
 /// Prompt tokens a second that requests which mostly read bring to each pool, over all nodes.
 #[derive(Debug, Default)]
-pub struct ReadingDemand {
+pub struct PrefillDemand {
     own: BTreeMap<PoolName, Meter>,
     others: HashMap<PoolName, f64>,
 }
 
-impl ReadingDemand {
+impl PrefillDemand {
     /// A request which mostly reads goes to a pool and brings so many tokens.
     pub fn count(&mut self, pool: &PoolName, tokens: u32, now: Timestamp) {
-        let fresh = || Meter::new(SPAN, now);
+        let fresh = || Meter::new(AVERAGING_TIME, now);
         let own = self.own.entry(pool.clone()).or_insert_with(fresh);
         own.count(f64::from(tokens), now);
     }
 
     /// What this node tells the others.
-    pub fn news(&self, now: Timestamp) -> Vec<ReadingNews> {
+    pub fn updates(&self, now: Timestamp) -> Vec<PrefillDemandUpdate> {
         let own = self.own.iter();
-        let told = own.map(|(pool, meter)| ReadingNews(pool.clone(), meter.per_second(now) as u32));
-        told.filter(|ReadingNews(_, tokens)| *tokens > 0).collect()
+        let reported = own
+            .map(|(pool, meter)| PrefillDemandUpdate(pool.clone(), meter.per_second(now) as u32));
+        reported
+            .filter(|PrefillDemandUpdate(_, tokens)| *tokens > 0)
+            .collect()
     }
 
     /// Takes what the others told, summed up.
--- a/crates/gateway/src/placement/prompt_version.rs
+++ b/crates/gateway/src/placement/prompt_for_weights.rs
@@ -2,20 +2,20 @@
 
 use ryerouter_core::placement::rendezvous_score;
 
-use super::{LEAST_SAVED_TOKENS, PlacementRequest, Prompt, PromptKeys};
+use super::{MIN_SAVED_TOKENS, PlacementRequest, Prompt, PromptKeys};
 use crate::engines::Engine;
-use crate::places::Distance;
+use crate::topology::Distance;
 
 /// Nobody is told who holds small parts. Each zone reads them for itself, and where there are several
 /// regions, so that zones are many, each region does.
-const SMALL_PARTS_READ_WITHIN: Distance = Distance::Near;
-const SMALL_PARTS_READ_WITHIN_OF_REGIONS: Distance = Distance::SameRegion;
+const SMALL_PREFIX_HOME_SCOPE: Distance = Distance::Near;
+const SMALL_PREFIX_HOME_SCOPE_WITH_REGIONS: Distance = Distance::SameRegion;
 /// Each region reads other parts once, or fetches them from another region that has.
-const LARGE_PARTS_READ_WITHIN: Distance = Distance::SameRegion;
+const LARGE_PREFIX_HOME_SCOPE: Distance = Distance::SameRegion;
 
 /// A prompt under one version of the weights: its salt and keys, and who reads it first.
 #[derive(Debug)]
-pub(super) struct PromptVersion {
+pub(super) struct PromptForWeights {
     model: String,
     pub(super) weights: u64,
     pub(super) salt: String,
@@ -23,16 +23,16 @@
     /// Orders engines the same on every node.
     order_key: u64,
     /// Place of the first engine in that order.
-    first_order: u64,
+    highest_order: u64,
     /// The same of the engines in this node's zone.
-    first_near_order: u64,
+    highest_zone_order: u64,
     /// The same of those in its region.
-    first_region_order: u64,
+    highest_region_order: u64,
     /// Whether there are several regions.
     has_regions: bool,
 }
 
-impl PromptVersion {
+impl PromptForWeights {
     pub(super) fn new(
         prompt: &Prompt,
         request: &PlacementRequest<'_>,
@@ -48,15 +48,15 @@
             order_key: order_key.map_or(0, |(key, _)| key.0),
             salt,
             keys,
-            first_order: 0,
-            first_near_order: 0,
-            first_region_order: 0,
+            highest_order: 0,
+            highest_zone_order: 0,
+            highest_region_order: 0,
             has_regions,
         }
     }
 
     /// Whether an engine has these weights.
-    pub(super) fn is_of(&self, engine: &Engine) -> bool {
+    pub(super) fn has_weights_of(&self, engine: &Engine) -> bool {
         engine.serving_weights_of(&self.model) == Some(self.weights)
     }
 
@@ -66,14 +66,14 @@
     }
 
     /// An engine with these weights takes work.
-    pub(super) fn consider_first_reader(&mut self, engine: &Engine, distance: Distance) {
+    pub(super) fn consider_home_engine(&mut self, engine: &Engine, distance: Distance) {
         let order = self.order_of(engine);
-        self.first_order = self.first_order.max(order);
+        self.highest_order = self.highest_order.max(order);
         if distance == Distance::Near {
-            self.first_near_order = self.first_near_order.max(order);
+            self.highest_zone_order = self.highest_zone_order.max(order);
         }
         if distance < Distance::Remote {
-            self.first_region_order = self.first_region_order.max(order);
+            self.highest_region_order = self.highest_region_order.max(order);
         }
     }
 
@@ -85,32 +85,32 @@
     /// Whether the shared parts are so few that each zone or region reads them for itself: sending the
     /// request further costs more, and nobody is told who holds them.
     pub(super) fn is_small(&self) -> bool {
-        self.shared_tokens() < LEAST_SAVED_TOKENS
+        self.shared_tokens() < MIN_SAVED_TOKENS
     }
 
     /// Whether all nodes, or for small parts all nodes of the zone or region, send parts that nobody
     /// holds to this engine.
-    pub(super) fn is_first_reader(&self, engine: &Engine) -> bool {
-        self.order_of(engine) == self.first_order_within(self.reading_ring())
+    pub(super) fn is_home_engine(&self, engine: &Engine) -> bool {
+        self.order_of(engine) == self.home_order_within(self.home_scope())
     }
 
     /// Within which distance of a node all requests go to one first reader.
-    fn reading_ring(&self) -> Distance {
+    fn home_scope(&self) -> Distance {
         match self.is_small() {
-            true if self.has_regions => SMALL_PARTS_READ_WITHIN_OF_REGIONS,
-            true => SMALL_PARTS_READ_WITHIN,
-            false => LARGE_PARTS_READ_WITHIN,
+            true if self.has_regions => SMALL_PREFIX_HOME_SCOPE_WITH_REGIONS,
+            true => SMALL_PREFIX_HOME_SCOPE,
+            false => LARGE_PREFIX_HOME_SCOPE,
         }
     }
 
     /// Place of the first engine within a distance; of all when none is that near.
-    fn first_order_within(&self, distance: Distance) -> u64 {
+    fn home_order_within(&self, distance: Distance) -> u64 {
         let orders = match distance {
-            Distance::Near => [self.first_near_order, self.first_region_order],
-            Distance::SameRegion => [self.first_region_order, 0],
+            Distance::Near => [self.highest_zone_order, self.highest_region_order],
+            Distance::SameRegion => [self.highest_region_order, 0],
             Distance::Remote => [0, 0],
         };
         let first = orders.into_iter().find(|order| *order > 0);
-        first.unwrap_or(self.first_order)
+        first.unwrap_or(self.highest_order)
     }
 }
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! How requests are decided is [`ryerouter_core::quota`]; see docs/design/tenant-limits.md.
 
-mod standing;
+mod limit_status;
 mod table;
-mod usage_news;
+mod usage_update;
 
-pub use standing::Standing;
+pub use limit_status::LimitStatus;
 pub use table::Quotas;
-pub use usage_news::{TenantKey, UsageNews, tenant_key};
+pub use usage_update::{TenantKey, UsageUpdate, tenant_key};
--- a/crates/gateway/src/quotas/table.rs
+++ b/crates/gateway/src/quotas/table.rs
@@ -6,14 +6,14 @@
 use ryerouter_core::identity::TenantName;
 use ryerouter_core::quota::{Account, Ask, Limit, Others, Peers, Tolerance, Usage, Verdict};
 
-use super::{Standing, TenantKey, UsageNews, tenant_key};
+use super::{LimitStatus, TenantKey, UsageUpdate, tenant_key};
 
 /// A node tells of a tenant when it is asked for this share of its even part of the limit. What is
 /// then told by nobody sums up to at most this share of the limit; as most of it is traffic far from
 /// its limit, and busy tenants come in bursts that are told, the error is much smaller.
-const TOLD_SHARE: f64 = 0.25;
+const MIN_REPORTED_SHARE: f64 = 0.25;
 /// Digits of a rate that are told: more would be noise.
-const TOLD_DIGITS: i32 = 3;
+const REPORTED_DIGITS: i32 = 3;
 
 /// The accounts of a node, and what it knows of the others.
 #[derive(Debug)]
@@ -88,31 +88,31 @@
     }
 
     /// What this node tells of the tenants that come near their limits.
-    pub fn news(&self, now: Timestamp) -> Vec<UsageNews> {
+    pub fn updates(&self, now: Timestamp) -> Vec<UsageUpdate> {
         let nodes = self.peers.nodes.max(1) as f64;
         let accounts = self.accounts.iter();
         let used = accounts.filter_map(|(tenant, (limit, account))| {
             let usage = account.usage(now);
-            let least = limit.per_second / nodes * TOLD_SHARE;
-            let is_told = f64::from(usage.asked) >= least;
-            is_told.then(|| UsageNews(tenant_key(tenant), rounded(usage)))
+            let min_requested = limit.per_second / nodes * MIN_REPORTED_SHARE;
+            let is_reported = f64::from(usage.asked) >= min_requested;
+            is_reported.then(|| UsageUpdate(tenant_key(tenant), rounded(usage)))
         });
         used.collect()
     }
 
     /// How the tenants stand that come near their limits.
-    pub fn near_limits(&self, now: Timestamp) -> impl Iterator<Item = Standing<'_>> {
-        let standings = self
+    pub fn near_limits(&self, now: Timestamp) -> impl Iterator<Item = LimitStatus<'_>> {
+        let statuses = self
             .accounts
             .iter()
-            .map(move |(tenant, (limit, account))| Standing {
+            .map(move |(tenant, (limit, account))| LimitStatus {
                 tenant,
                 limit,
                 balance: account.balance(),
                 own: account.usage(now),
                 peers: self.peers_of(tenant),
             });
-        standings.filter(Standing::is_near_limit)
+        statuses.filter(LimitStatus::is_near_limit)
     }
 
     fn account(
@@ -144,16 +144,16 @@
 
 fn rounded(usage: Usage) -> Usage {
     Usage {
-        asked: to_told_digits(usage.asked),
-        admitted: to_told_digits(usage.admitted),
+        asked: round_to_reported_digits(usage.asked),
+        admitted: round_to_reported_digits(usage.admitted),
     }
 }
 
-fn to_told_digits(value: f32) -> f32 {
+fn round_to_reported_digits(value: f32) -> f32 {
     if value <= 0.0 {
         return 0.0;
     }
     let digits = value.log10().floor() as i32 + 1;
-    let unit = 10_f32.powi(digits - TOLD_DIGITS);
+    let unit = 10_f32.powi(digits - REPORTED_DIGITS);
     (value / unit).round() * unit
 }
--- a/crates/gateway/src/quotas/usage_news.rs
+++ b/crates/gateway/src/quotas/usage_update.rs
@@ -16,4 +16,4 @@
 
 /// What a tenant uses at the sender, or at the nodes of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct UsageNews(pub TenantKey, pub Usage);
+pub struct UsageUpdate(pub TenantKey, pub Usage);
--- a/crates/gateway/src/release/admission.rs
+++ b/crates/gateway/src/release/admission.rs
@@ -2,7 +2,7 @@
 
 use super::EngineFilter;
 use crate::engines::EngineEntry;
-use crate::placement::Failing;
+use crate::placement::UnhealthyEngines;
 
 /// Where a request may go: to some engines, and when none of them serves to others.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// When none of those serves, these; without them the request gets no engine.
     pub fallback: Option<EngineFilter>,
     /// Whether it goes to engines that fail requests: a version that isn't known to be good needs none.
-    pub failing: Failing,
+    pub unhealthy: UnhealthyEngines,
 }
 
 impl Admission {
@@ -27,7 +27,7 @@
         Self {
             first,
             fallback: None,
-            failing: Failing::BetterThanNone,
+            unhealthy: UnhealthyEngines::LastResort,
         }
     }
 
@@ -36,14 +36,14 @@
         Self {
             first,
             fallback: Some(fallback),
-            failing: Failing::BetterThanNone,
+            unhealthy: UnhealthyEngines::LastResort,
         }
     }
 
     /// The same, but engines that fail requests are passed over.
     pub fn on_trial(first: EngineFilter, fallback: EngineFilter) -> Self {
         Self {
-            failing: Failing::PassedOver,
+            unhealthy: UnhealthyEngines::Excluded,
             ..Self::with_fallback(first, fallback)
         }
     }
--- a/crates/gateway/src/release/gate.rs
+++ b/crates/gateway/src/release/gate.rs
@@ -105,13 +105,18 @@
     /// Whether a request goes to the target version of a release that has not come to its end.
     fn may_go_to_target(&self, known: &KnownRelease, id: &str, tried: &[BackEndName]) -> bool {
         let grant = &known.grant;
-        let life = self.settings.grant_life();
+        let life = self.settings.grant_lifetime();
         if known.is_stopped() || !known.is_granted(life, self.now) {
             return false;
         }
         let is_drawn = || draw_of(id) < grant.share && !self.has_tried_target(known, tried);
         match grant.stage {
-            Stage::Trial => is_drawn() && known.account.has_room(self.settings, self.nodes),
+            Stage::Trial => {
+                is_drawn()
+                    && known
+                        .exposure_budget
+                        .allows_request(self.settings, self.nodes)
+            }
             Stage::Shifting => is_drawn(),
             Stage::Settling => true,
             Stage::Completed | Stage::RolledBack | Stage::Withdrawn => false,
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -5,8 +5,8 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::release::{
-    Account, Comparison, Counts, Grant, Ledger, Progress, Reporter, Rollback, Settings,
-    SoftwareVersion, Stage,
+    ClusterCounts, Comparison, Counts, ExposureBudget, Grant, Progress, Reporter, Rollback,
+    Settings, SoftwareVersion, Stage,
 };
 
 use super::Origin;
@@ -25,9 +25,9 @@
     /// When this node came to know its stage.
     pub staged_at: Timestamp,
     /// What this node has sent since it heard of the release.
-    pub account: Account,
+    pub exposure_budget: ExposureBudget,
     /// What this node and the others have seen.
-    pub ledger: Ledger,
+    pub cluster_counts: ClusterCounts,
     /// Other versions that get nothing: they were rolled back or withdrawn before, or were still under trial
     /// when this release was ordered.
     pub rejected: BTreeSet<SoftwareVersion>,
@@ -50,8 +50,8 @@
             grant,
             granted_at,
             staged_at: now,
-            account: Account::default(),
-            ledger: Ledger::default(),
+            exposure_budget: ExposureBudget::default(),
+            cluster_counts: ClusterCounts::default(),
             rejected: BTreeSet::new(),
             replaced: BTreeSet::new(),
             origins: BTreeMap::new(),
@@ -76,7 +76,7 @@
     pub fn resume(&self, settings: Settings, now: Timestamp) -> Progress {
         let age = now.since(self.granted_at);
         let trial = Progress::resume(&self.grant, age, settings, now);
-        trial.with_suspicion(self.comparison.clone(), self.stopped.clone())
+        trial.with_comparison(self.comparison.clone(), self.stopped.clone())
     }
 
     /// Whether nothing follows.
@@ -92,7 +92,7 @@
     /// Takes what a reporter has seen.
     pub fn absorb(&mut self, reporter: Reporter, origin: Origin, counts: &Counts) {
         self.origins.insert(reporter, origin);
-        self.ledger.absorb(reporter, counts);
+        self.cluster_counts.merge_report(reporter, counts);
     }
 
     /// What all nodes have seen. With many nodes those of other zones count in the sums of their zones,
@@ -113,7 +113,7 @@
     fn total_of(&self, counted: &[Origin]) -> Counts {
         let origin = |reporter| self.origins.get(&reporter);
         let is_counted = |reporter| origin(reporter).is_some_and(|origin| counted.contains(origin));
-        self.ledger.total_of(is_counted)
+        self.cluster_counts.total_of(is_counted)
     }
 
     /// Takes all answers so far; tells why this node stops sending to the target version, the moment
@@ -124,7 +124,7 @@
         self.comparison.observe(total, self.grant.stage, now);
         if self.stopped.is_some() {
             let is_moving = self.grant.stage == Stage::Settling;
-            if is_moving && self.comparison.is_clear(engines) {
+            if is_moving && self.comparison.allows_shift(engines) {
                 self.stopped = None;
             }
             return None;
@@ -145,7 +145,7 @@
             return false;
         }
         self.stopped = None;
-        self.comparison.forget_scores();
+        self.comparison.reset_scores();
         true
     }
 }
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -97,7 +97,7 @@
             route: watch.route,
             engine,
         };
-        known.ledger.note(cell, judgement);
+        known.cluster_counts.note(cell, judgement);
     }
 
     /// Whether answers of a version tell how long the present version takes.
--- a/crates/gateway/src/retry/retry_window.rs
+++ b/crates/gateway/src/retry/retry_window.rs
@@ -7,10 +7,10 @@
 use super::RetrySettings;
 
 /// Share of the whole budget that is used: nodes and judges cut windows at other moments.
-const USED_SHARE: f64 = 0.8;
+const USABLE_SHARE: f64 = 0.8;
 
 /// Share of that which may go to attempts that have not failed: the rest is left for those that have.
-const SPARE_SHARE: f64 = 0.5;
+const SPECULATIVE_SHARE: f64 = 0.5;
 
 /// Counts requests and retries of one pool in a sliding window.
 ///
@@ -25,7 +25,7 @@
 impl RetryWindow {
     /// A request arrived.
     pub fn count_request(&mut self, settings: &RetrySettings, now: Timestamp) {
-        self.forget(settings, now);
+        self.expire(settings, now);
         self.requests.push_back(now);
     }
 
@@ -37,13 +37,13 @@
 
     /// The same for an attempt that has not failed and may only be slow: some are left for others.
     #[must_use]
-    pub fn spend_spare(
+    pub fn spend_speculative(
         &mut self,
         settings: &RetrySettings,
         processes: usize,
         now: Timestamp,
     ) -> bool {
-        self.spend_share(SPARE_SHARE, settings, processes, now)
+        self.spend_share(SPECULATIVE_SHARE, settings, processes, now)
     }
 
     fn spend_share(
@@ -53,10 +53,10 @@
         processes: usize,
         now: Timestamp,
     ) -> bool {
-        self.forget(settings, now);
+        self.expire(settings, now);
         let floor = settings.floor / processes.max(1) as f64;
         let earned = settings.ratio * self.requests.len() as f64;
-        let allowed = (floor + earned) * USED_SHARE * share;
+        let allowed = (floor + earned) * USABLE_SHARE * share;
         if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
@@ -64,7 +64,7 @@
         true
     }
 
-    fn forget(&mut self, settings: &RetrySettings, now: Timestamp) {
+    fn expire(&mut self, settings: &RetrySettings, now: Timestamp) {
         let start = now.before(settings.window);
         for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| *at < start) {
--- a/crates/gateway/src/rollout/given_orders.rs
+++ b/crates/gateway/src/rollout/given_orders.rs
@@ -9,7 +9,7 @@
 use super::given_order::GivenOrder;
 use super::open_order::{OpenOrder, OrderStep};
 use super::{EngineReport, RolloutAction};
-use crate::engines::ToldLife;
+use crate::engines::IncarnationOrder;
 
 /// Orders that were given under a lease that is lost.
 ///
@@ -39,7 +39,9 @@
     /// An engine is in this life: what it was ordered before has ended with that one.
     pub(super) fn forget_other_lives(&mut self, engine: &BackEndName, life: Option<Incarnation>) {
         let known = self.orders.get(engine);
-        if known.is_some_and(|given| ToldLife::new(given.incarnation, life) != ToldLife::Same) {
+        if known.is_some_and(|given| {
+            IncarnationOrder::new(given.incarnation, life) != IncarnationOrder::Same
+        }) {
             self.orders.remove(engine);
         }
     }
--- a/crates/gateway/src/rollout/rollout_driver.rs
+++ b/crates/gateway/src/rollout/rollout_driver.rs
@@ -16,7 +16,7 @@
 use super::{
     EngineOrders, EngineReport, OrderOutcome, RolloutAction, RolloutPlanner, WeightsOrder,
 };
-use crate::engines::ToldLife;
+use crate::engines::IncarnationOrder;
 use crate::gateway::Gateway;
 use crate::peers::LeaseNews;
 use crate::source::LeaseStore;
@@ -151,7 +151,7 @@
     /// what it does now, and an order to that life is over.
     fn is_in_life(&mut self, engine: &BackEndName, life: Option<Incarnation>) -> bool {
         let known = self.gateway.life_of(engine);
-        let is_same = ToldLife::new(known, life) == ToldLife::Same;
+        let is_same = IncarnationOrder::new(known, life) == IncarnationOrder::Same;
         if !is_same {
             info!(self.gateway.log(), "former_life_answered"; "engine" => %engine);
             self.planner.forget_other_lives(engine, known);
@@ -166,7 +166,7 @@
     ) -> Option<EngineReport> {
         let report = report?;
         let told = self.gateway.take_report_life(engine, &report);
-        (told != ToldLife::Former).then_some(report)
+        (told != IncarnationOrder::Older).then_some(report)
     }
 
     fn tell_lease(&mut self, event: LeaseEvent) {
--- a/crates/gateway/src/rollout/rollout_planner.rs
+++ b/crates/gateway/src/rollout/rollout_planner.rs
@@ -12,7 +12,7 @@
 use super::{
     EngineReport, OrderOutcome, RolloutAction, RolloutSettings, WeightsDeadlines, WeightsOrder,
 };
-use crate::engines::{Engine, EngineTable, ToldLife};
+use crate::engines::{Engine, EngineTable, IncarnationOrder};
 
 /// Decides which engine loads when, while this process holds the lease.
 ///
@@ -68,7 +68,9 @@
     /// anew and knows nothing of it.
     pub fn forget_other_lives(&mut self, engine: &BackEndName, life: Option<Incarnation>) {
         let known = self.open.get(engine);
-        if known.is_some_and(|open| ToldLife::new(open.incarnation, life) != ToldLife::Same) {
+        if known.is_some_and(|open| {
+            IncarnationOrder::new(open.incarnation, life) != IncarnationOrder::Same
+        }) {
             self.open.remove(engine);
             self.resting.remove(engine);
         }
@@ -110,7 +112,9 @@
             let Some(engine) = engines.get(name) else {
                 return false;
             };
-            if ToldLife::new(open.incarnation, engine.entry.incarnation) != ToldLife::Same {
+            if IncarnationOrder::new(open.incarnation, engine.entry.incarnation)
+                != IncarnationOrder::Same
+            {
                 return false;
             }
             let has = engine.weights_of(&open.model);
@@ -150,7 +154,7 @@
                 continue;
             };
             let load = engines.get(name).map(Engine::load).unwrap_or_default();
-            if load.unread_tokens > 0 && now < until {
+            if load.prefill_tokens > 0 && now < until {
                 continue;
             }
             open.step = OrderStep::Given;
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -18,7 +18,7 @@
 use super::held_request::HeldRequest;
 use super::list_state::ListState;
 use super::live_answer::LiveAnswer;
-use crate::engines::{AwaitedPart, EngineLoad, InFlight};
+use crate::engines::{EngineLoad, InFlight, ResponsePhase};
 use crate::gateway::Gateway;
 use crate::placement::Placement;
 use crate::poison::Run;
@@ -106,7 +106,7 @@
     let prompt = request.caller.prompt.as_ref();
     let load = EngineLoad {
         requests: 1,
-        unread_tokens: placement.unread_tokens,
+        prefill_tokens: placement.prefill_tokens,
         kv_tokens: prompt.map_or(0, |prompt| prompt.prompt_tokens + prompt.output_tokens),
     };
     let state = gateway.state();
@@ -212,8 +212,8 @@
         engine.note_answer_to(sent_at);
     }
     let route = &request.route.name;
-    let times = &mut state.part_times;
-    times.note(&request.pool, route, AwaitedPart::Head, head_after);
+    let times = &mut state.phase_times;
+    times.note(&request.pool, route, ResponsePhase::Head, head_after);
 }
 
 /// The engine took the request; its answer tells its weights.
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -18,7 +18,7 @@
 use super::live_answer::{LiveAnswer, WholeAnswer};
 use super::silence_limits::SilenceLimits;
 use crate::catalogue::RequestKind;
-use crate::engines::AwaitedPart;
+use crate::engines::ResponsePhase;
 use crate::gateway::Gateway;
 use crate::placement::{Placement, PlacementRequest};
 use crate::poison::Run;
@@ -194,7 +194,7 @@
         if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.most_attempts {
             return attempt.await;
         }
-        let part = AwaitedPart::Head;
+        let part = ResponsePhase::Head;
         let limits = SilenceLimits::new(gateway, request, &placement.engine, part, since);
         let Some(limits) = limits else {
             return attempt.await;
@@ -243,7 +243,7 @@
         &self,
         placement: &Placement,
         limits: &SilenceLimits,
-        part: AwaitedPart,
+        part: ResponsePhase,
         why: Doubt,
     ) -> AttemptEnd {
         let gateway = &self.gateway;
@@ -253,7 +253,7 @@
             .note_silent(&placement.engine, limits.since);
         let (pool, route) = (&self.request.pool, &self.request.route.name);
         // It takes at least so long; when all become slow, this raises the limit.
-        let times = &mut gateway.state_mut().part_times;
+        let times = &mut gateway.state_mut().phase_times;
         times.note(pool, route, part, silent);
         warn!(gateway.log(), "attempt_given_up"; "request" => &self.request.caller.id,
             "engine" => %placement.engine, "why" => %why, "awaited" => ?part,
--- a/crates/gateway/src/serve/silence_limits.rs
+++ b/crates/gateway/src/serve/silence_limits.rs
@@ -7,7 +7,7 @@
 
 use super::accepted_request::AcceptedRequest;
 use super::doubt::Doubt;
-use crate::engines::AwaitedPart;
+use crate::engines::ResponsePhase;
 use crate::gateway::Gateway;
 use crate::upstream::ConnectionUse;
 
@@ -32,17 +32,17 @@
         gateway: &Gateway,
         request: &AcceptedRequest,
         engine: &BackEndName,
-        part: AwaitedPart,
+        part: ResponsePhase,
         since: Timestamp,
     ) -> Option<Self> {
         let state = gateway.state();
-        let times = &state.part_times;
+        let times = &state.phase_times;
         let estimate = times.estimate(&request.pool, &request.route.name, part)?;
         Some(Self {
             engine: engine.clone(),
             since,
-            while_others_are_answered: estimate.longest_while_others_are_answered(),
-            without_news: estimate.longest_without_news(),
+            while_others_are_answered: estimate.max_while_others_answered(),
+            without_news: estimate.max_without_response(),
         })
     }
 
@@ -71,6 +71,6 @@
     pub(super) fn answers_later(&self, gateway: &Gateway) -> bool {
         let state = gateway.state();
         let engine = state.engines.get(&self.engine);
-        engine.is_some_and(|engine| engine.has_answered_what_was_sent_after(self.since))
+        engine.is_some_and(|engine| engine.has_answered_request_sent_after(self.since))
     }
 }
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -21,7 +21,7 @@
 use super::held_at::HeldAt;
 use super::live_answer::LiveAnswer;
 use super::silence_limits::SilenceLimits;
-use crate::engines::AwaitedPart;
+use crate::engines::ResponsePhase;
 use crate::placement::Placement;
 use crate::relay::{EventSplitter, RelayFault, StreamEnd};
 use crate::release::AnswerEnd;
@@ -40,7 +40,7 @@
     first_event_ms: Option<u64>,
     /// How long silence is believed now; `None` before enough was seen.
     limits: Option<SilenceLimits>,
-    awaited: AwaitedPart,
+    awaited: ResponsePhase,
     awaited_since: Timestamp,
     /// From the last attempt's begin to the head of its answer.
     head_ms: u64,
@@ -64,7 +64,7 @@
     pub(super) fn new(exchange: Exchange, live: LiveAnswer, active: ActiveRequest) -> Self {
         Self {
             limits: None,
-            awaited: AwaitedPart::FirstEvent,
+            awaited: ResponsePhase::FirstEvent,
             awaited_since: Timestamp::ZERO,
             head_ms: live.head_after.as_millis() as u64,
             last_event_id: exchange.request.caller.last_event_id.clone(),
@@ -82,7 +82,7 @@
 
     /// The caller's answer: head of the first engine, events as they come.
     pub(super) fn into_response(mut self) -> Response<AnswerBody> {
-        self.await_part(AwaitedPart::FirstEvent);
+        self.await_part(ResponsePhase::FirstEvent);
         let live = self.live.as_mut().expect("begins with an answer");
         let (status, headers) = (live.status, std::mem::take(&mut live.headers));
         let events = unfold(self, |mut relay| async move {
@@ -178,7 +178,7 @@
     }
 
     /// Another part of the answer is awaited from now on.
-    fn await_part(&mut self, part: AwaitedPart) {
+    fn await_part(&mut self, part: ResponsePhase) {
         self.awaited = part;
         // Its connection has carried an answer, so that only the engine's news cast doubt on it.
         self.exchange.held.used.set(Some(ConnectionUse::New));
@@ -242,7 +242,7 @@
                     "request" => &self.exchange.request.caller.id,
                     "engine" => %live.placement.engine, "after_event" => last_event_id);
                 self.live = Some(live);
-                self.await_part(AwaitedPart::FirstEvent);
+                self.await_part(ResponsePhase::FirstEvent);
                 Ok(())
             }
             Ok(mut live) => {
@@ -262,20 +262,20 @@
 
     /// The first event of an answer has come.
     fn note_first_event(&mut self) {
-        if self.awaited != AwaitedPart::FirstEvent {
+        if self.awaited != ResponsePhase::FirstEvent {
             return;
         }
         let gateway = &self.exchange.gateway;
         let took = gateway.clock().now().since(self.awaited_since);
-        self.note_time(AwaitedPart::FirstEvent, took);
-        self.await_part(AwaitedPart::Pause);
+        self.note_time(ResponsePhase::FirstEvent, took);
+        self.await_part(ResponsePhase::Pause);
     }
 
-    fn note_time(&self, part: AwaitedPart, took: Duration) {
+    fn note_time(&self, part: ResponsePhase, took: Duration) {
         let Exchange {
             gateway, request, ..
         } = &self.exchange;
-        let times = &mut gateway.state_mut().part_times;
+        let times = &mut gateway.state_mut().phase_times;
         times.note(&request.pool, &request.route.name, part, took);
     }
 
@@ -288,7 +288,7 @@
         let Some(live) = &mut self.live else {
             return;
         };
-        live.in_flight.prompt_read();
+        live.in_flight.note_prefill_done();
         self.exchange.held.is_at(HeldAt::Stream);
         let elapsed_ms = self.active.elapsed_ms();
         if self.has_begun {
@@ -322,7 +322,7 @@
         self.active.end("answered");
         if self.resumed == 0 {
             let pause = Duration::from_millis(self.longest_pause_ms);
-            self.note_time(AwaitedPart::Pause, pause);
+            self.note_time(ResponsePhase::Pause, pause);
         }
         let Some(left_out) = gateway.sampler().admit(gateway.clock().now()) else {
             return;
@@ -335,7 +335,7 @@
             "fetched" => fetch.map(|fetch| fetch.tokens),
             "fetched_from" => fetch.map(|fetch| fetch.holder.to_string()),
             "prefix" => placement.keys.shared().last().map(|(key, _)| format!("{:016x}", key.0)),
-            "saved" => placement.save_to.is_some(), "unread" => placement.unread_tokens,
+            "saved" => placement.save_to.is_some(), "unread" => placement.prefill_tokens,
             "expected_tokens" => request.caller.prompt.as_ref().and_then(|prompt| prompt.expected_tokens),
             "head_ms" => self.head_ms, "first_event_ms" => self.first_event_ms,
             "longest_pause_ms" => self.longest_pause_ms, "cost" => %placement.cost,
@@ -366,7 +366,7 @@
     let by_source = [
         ("cached", placement.cached_tokens),
         ("fetched", fetched),
-        ("read", placement.unread_tokens),
+        ("read", placement.prefill_tokens),
     ];
     for (source, count) in by_source {
         tokens.with_label_values(&[source]).inc_by(u64::from(count));
--- a/crates/gateway/src/places/mod.rs
+++ b/crates/gateway/src/topology/mod.rs
@@ -4,7 +4,7 @@
 //! moves of KV cache cost several times as much; see docs/design/regions.md.
 
 mod distance;
-mod map;
+mod zone_map;
 
 pub use distance::Distance;
-pub use map::{Area, Places};
+pub use zone_map::{Area, Topology};
--- a/crates/gateway/src/places/map.rs
+++ b/crates/gateway/src/topology/zone_map.rs
@@ -11,7 +11,7 @@
 /// Without any, all zones lie in one region. Otherwise a zone that is not named lies in a region of
 /// its own: to take a far zone for a near one would cost every request its delay.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct Topology {
     regions: BTreeMap<ZoneName, RegionName>,
 }
 
@@ -19,21 +19,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Area<'a> {
     /// All zones, where no region is known.
-    Whole,
+    AllZones,
     /// The zones of a region.
     Region(&'a RegionName),
     /// A zone whose region is not known.
-    Alone(&'a ZoneName),
+    Zone(&'a ZoneName),
 }
 
-impl Places {
+impl Topology {
     /// Zones by the region that each lies in.
     pub fn new(regions: BTreeMap<ZoneName, RegionName>) -> Self {
         Self { regions }
     }
 
     /// How far two zones are from each other.
-    pub fn between(&self, left: &ZoneName, right: &ZoneName) -> Distance {
+    pub fn distance(&self, left: &ZoneName, right: &ZoneName) -> Distance {
         match left == right {
             true => Distance::Near,
             false if self.area(left) == self.area(right) => Distance::SameRegion,
@@ -45,8 +45,8 @@
     pub fn area<'a>(&'a self, zone: &'a ZoneName) -> Area<'a> {
         match self.regions.get(zone) {
             Some(region) => Area::Region(region),
-            None if self.regions.is_empty() => Area::Whole,
-            None => Area::Alone(zone),
+            None if self.regions.is_empty() => Area::AllZones,
+            None => Area::Zone(zone),
         }
     }
 
--- a/crates/gateway/tests/caches.rs
+++ b/crates/gateway/tests/caches.rs
@@ -178,7 +178,7 @@
         let node = node(0, ZONE);
         let name = BackEndName::new("e0");
         let now = node.clock().now();
-        node.state_mut().holders.note_untold(PART, &name, now);
+        node.state_mut().holders.note_local(PART, &name, now);
         node.take_cache_changes(&name, &[change(0, false)], false);
         assert_eq!(holders(&node), []);
         assert_eq!(node.peer_message(false).dropped, []);
--- a/crates/gateway/tests/dividing.rs
+++ b/crates/gateway/tests/dividing.rs
@@ -10,11 +10,11 @@
 use ryerouter_gateway::engines::{Engine, EngineLoad, EngineTable};
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::placement::{
-    Chooser, Division, HolderTable, KvStores, PlacementPrices, PlacementRequest, Prompt,
-    mostly_reads,
+    Chooser, HolderTable, KvStores, PlacementPrices, PlacementRequest, PrefillSplit, Prompt,
+    is_prefill_heavy,
 };
-use ryerouter_gateway::places::Places;
 use ryerouter_gateway::rollout::{NamedAt, WeightsDeadlines};
+use ryerouter_gateway::topology::Topology;
 use support::gateway_bench::{configure, gateway, list_engines, run_paused};
 use support::records::{POOL, ZONE, engine, model_table, route};
 use support::test_dialect::{MODEL, prompt};
@@ -34,10 +34,14 @@
     engines
 }
 
-fn divide(engines: &EngineTable, tokens_per_second: f64, was_divided: bool) -> Option<Division> {
+fn divide(
+    engines: &EngineTable,
+    tokens_per_second: f64,
+    was_divided: bool,
+) -> Option<PrefillSplit> {
     let prices = PlacementPrices::default();
     let pool = PoolName::new(POOL);
-    Division::new(engines, &pool, tokens_per_second, &prices, was_divided)
+    PrefillSplit::new(engines, &pool, tokens_per_second, &prices, was_divided)
 }
 
 /// A prompt of so many tokens whose answer is expected to have so many.
@@ -55,9 +59,12 @@
     short_with_a_long_answer = { 800, 50, false },
     long_with_a_very_long_answer = { 9_000, 2_000, false },
 )]
-fn kind_follows_from_the_tokens_of_prompt_and_answer(tokens: u32, expected: u32, reads: bool) {
+fn kind_follows_from_the_tokens_of_prompt_and_answer(tokens: u32, expected: u32, prefills: bool) {
     let prompt = prompt_of(tokens, expected);
-    assert_eq!(mostly_reads(&prompt, &PlacementPrices::default()), reads);
+    assert_eq!(
+        is_prefill_heavy(&prompt, &PlacementPrices::default()),
+        prefills
+    );
 }
 
 #[test]
@@ -96,13 +103,13 @@
 #[test]
 fn single_engine_of_a_zone_takes_all_kinds_of_requests() {
     let engines = engines(1);
-    let division = divide(&engines, 3_000.0, false).unwrap();
-    assert_eq!(division.count(&engines), 0);
+    let prefill_split = divide(&engines, 3_000.0, false).unwrap();
+    assert_eq!(prefill_split.count(&engines), 0);
 }
 
 struct Side {
     engines: EngineTable,
-    division: Division,
+    prefill_split: PrefillSplit,
     table: RoutingTable,
     deadlines: WeightsDeadlines,
 }
@@ -114,21 +121,22 @@
             let name = BackEndName::new(format!("e{index}"));
             engines.get_mut(&name).unwrap().foreign_load.requests = 2;
         }
-        let division = divide(&engines, SOME_TOKENS_PER_SECOND, false).unwrap();
+        let prefill_split = divide(&engines, SOME_TOKENS_PER_SECOND, false).unwrap();
         let mut route = route(RequestKind::Streaming);
         route.longest_pause = Some(Duration::from_millis(600));
         Self {
             engines,
-            division,
+            prefill_split,
             table: model_table(vec![route]),
             deadlines: WeightsDeadlines::new(Duration::from_secs(7)),
         }
     }
 
     /// Whether the engine chosen for a prompt is one of those that mostly read.
-    fn reads(&self, prompt: &Prompt, id: &str) -> bool {
+    fn prefills(&self, prompt: &Prompt, id: &str) -> bool {
         let engine = self.choose(prompt, id);
-        self.division.reads(self.engines.get(&engine).unwrap())
+        self.prefill_split
+            .prefills(self.engines.get(&engine).unwrap())
     }
 
     fn choose(&self, prompt: &Prompt, id: &str) -> BackEndName {
@@ -138,12 +146,12 @@
             table: &self.table,
             kv_stores: &KvStores::default(),
             deadlines: &self.deadlines,
-            slowest_begin: Duration::ZERO,
+            max_recent_start_delay: Duration::ZERO,
             prices: &PlacementPrices::default(),
-            division: Some(&self.division),
+            prefill_split: Some(&self.prefill_split),
             is_large: true,
             zone: &ZoneName::new(ZONE),
-            places: &Places::default(),
+            topology: &Topology::default(),
             now: NOW,
         };
         let placement = chooser.choose(&PlacementRequest {
@@ -160,7 +168,7 @@
 
     fn load(&mut self, load: EngineLoad, of_reading: bool) {
         for engine in self.engines.iter_mut() {
-            if self.division.reads(engine) == of_reading {
+            if self.prefill_split.prefills(engine) == of_reading {
                 engine.foreign_load = load;
             }
         }
@@ -171,8 +179,8 @@
 fn long_prompts_and_long_answers_are_kept_apart() {
     let side = Side::new();
     for id in ["r1", "r2", "r3", "r4"] {
-        assert!(side.reads(&prompt_of(9_000, 9), id));
-        assert!(!side.reads(&prompt_of(800, 50), id));
+        assert!(side.prefills(&prompt_of(9_000, 9), id));
+        assert!(!side.prefills(&prompt_of(800, 50), id));
     }
 }
 
@@ -181,7 +189,7 @@
     let mut side = Side::new();
     let named_at = NamedAt::Seen(NOW.before(Duration::from_secs(2)));
     side.deadlines.note(MODEL, 2, named_at);
-    let is_other = |engine: &&Engine| !side.division.reads(engine);
+    let is_other = |engine: &&Engine| !side.prefill_split.prefills(engine);
     let other = side.engines.iter().find(is_other).unwrap();
     let newest = other.entry.name.clone();
     let engine = side.engines.get_mut(&newest).unwrap();
@@ -197,11 +205,11 @@
     let mut side = Side::new();
     let crowded = EngineLoad {
         requests: 8,
-        unread_tokens: 60_000,
+        prefill_tokens: 60_000,
         kv_tokens: 60_000,
     };
     side.load(crowded, true);
-    assert!(!side.reads(&prompt_of(9_000, 9), "r1"));
+    assert!(!side.prefills(&prompt_of(9_000, 9), "r1"));
 }
 
 #[test]
@@ -221,7 +229,7 @@
         let engine = side.engines.get_mut(&name(index)).unwrap();
         engine.foreign_load = EngineLoad {
             requests: 6,
-            unread_tokens: if index == 0 { 0 } else { 12_000 },
+            prefill_tokens: if index == 0 { 0 } else { 12_000 },
             kv_tokens: 0,
         };
     }
@@ -231,12 +239,12 @@
         table: &side.table,
         kv_stores: &KvStores::default(),
         deadlines: &WeightsDeadlines::new(Duration::from_secs(7)),
-        slowest_begin: Duration::ZERO,
+        max_recent_start_delay: Duration::ZERO,
         prices: &PlacementPrices::default(),
-        division: None,
+        prefill_split: None,
         is_large: false,
         zone: &ZoneName::new(ZONE),
-        places: &Places::default(),
+        topology: &Topology::default(),
         now: NOW,
     };
     let placement = chooser
@@ -276,7 +284,7 @@
         let pool = PoolName::new(POOL);
         let now = first.clock().now();
         let tokens = SOME_TOKENS_PER_SECOND as u32 * 4;
-        first.state_mut().reading_demand.count(&pool, tokens, now);
+        first.state_mut().prefill_demand.count(&pool, tokens, now);
         assert!(divided(&first));
         second.hear_peer(first.peer_message(true));
         assert!(divided(&second));
--- a/crates/gateway/tests/early_ends.rs
+++ b/crates/gateway/tests/early_ends.rs
@@ -12,7 +12,7 @@
 use raw_engine::{Act, After, FIRST_EVENT, NO_ROOM, PART, RawEngines, STREAM_HEAD};
 use ryerouter_core::identity::PoolName;
 use ryerouter_gateway::catalogue::RequestKind;
-use ryerouter_gateway::engines::AwaitedPart;
+use ryerouter_gateway::engines::ResponsePhase;
 use support::gateway_bench::{GatewayBench, run};
 use support::records::{POOL, engine, route, table};
 use support::test_dialect::{ID, PATIENCE_MS};
@@ -190,11 +190,11 @@
         let bench = bench(RequestKind::Safe, LONG, [silent.address; 2]).await;
         let gateway = Rc::clone(&bench.gateway);
         for _ in 0..ANSWERS_UNTIL_SETTLED {
-            let times = &mut gateway.state_mut().part_times;
+            let times = &mut gateway.state_mut().phase_times;
             times.note(
                 &PoolName::new(POOL),
                 "route",
-                AwaitedPart::Head,
+                ResponsePhase::Head,
                 Duration::ZERO,
             );
         }
--- a/crates/gateway/tests/engine_lives.rs
+++ b/crates/gateway/tests/engine_lives.rs
@@ -13,7 +13,7 @@
 use ryerouter_core::identity::{BackEndName, Incarnation};
 use ryerouter_gateway::catalogue::RequestKind;
 use ryerouter_gateway::engines::{
-    EngineEntry, EngineLoad, EngineState, EngineTable, InFlight, ToldLife,
+    EngineEntry, EngineLoad, EngineState, EngineTable, InFlight, IncarnationOrder,
 };
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::peers::{
@@ -85,7 +85,7 @@
 fn one_request() -> EngineLoad {
     EngineLoad {
         requests: 1,
-        unread_tokens: 100,
+        prefill_tokens: 100,
         kv_tokens: 100,
     }
 }
@@ -136,7 +136,7 @@
         let engine = state.engines.get(&name()).unwrap();
         assert!(engine.takes_work(now) && engine.health.is_serving());
         assert_eq!(engine.full_until, None);
-        assert!(!engine.has_answered_what_was_sent_after(Timestamp::ZERO));
+        assert!(!engine.has_answered_request_sent_after(Timestamp::ZERO));
         assert!(state.holder_news.is_empty() && state.dropped_news.is_empty());
         assert!(state.weights_news.is_empty() && state.load_news.is_empty());
     });
@@ -388,7 +388,7 @@
         salt: None,
         keys: PromptKeys(vec![(PART, 900), (PartKey(8), 1_000)]),
         cached_tokens: 0,
-        unread_tokens: 900,
+        prefill_tokens: 900,
         fetch: None,
         save_to: None,
         cost: CandidateCost::default(),
@@ -428,7 +428,7 @@
         assert_eq!(answer.status, 200);
         let state = gateway.state();
         let known = state.engines.get(&name()).unwrap();
-        let has_answered = known.has_answered_what_was_sent_after(Timestamp::ZERO);
+        let has_answered = known.has_answered_request_sent_after(Timestamp::ZERO);
         assert_eq!(has_answered, expected);
         assert_eq!(known.load(), EngineLoad::default());
     });
@@ -555,11 +555,11 @@
 }
 
 #[parameterized(
-    of_the_life_before = { FIRST, ToldLife::Former, SECOND, 1 },
-    of_this_life = { SECOND, ToldLife::Same, SECOND, 1 },
-    of_a_newer_life = { 3_000, ToldLife::Later, 3_000, 2 },
+    of_the_life_before = { FIRST, IncarnationOrder::Older, SECOND, 1 },
+    of_this_life = { SECOND, IncarnationOrder::Same, SECOND, 1 },
+    of_a_newer_life = { 3_000, IncarnationOrder::Newer, 3_000, 2 },
 )]
-fn report_of_a_newer_life_is_news_of_it(of: u64, expected: ToldLife, known: u64, has: u64) {
+fn report_of_a_newer_life_is_news_of_it(of: u64, expected: IncarnationOrder, known: u64, has: u64) {
     run(async {
         let gateway = gateway("node-1");
         list_engines(&gateway, vec![life(SECOND)]);
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -13,11 +13,11 @@
 use ryerouter_gateway::engines::{EngineLoad, EngineTable};
 use ryerouter_gateway::peers::KvStoreState;
 use ryerouter_gateway::placement::{
-    Chooser, Division, HolderTable, KvHolder, KvStores, Placement, PlacementPrices,
-    PlacementRequest, Prompt, PromptPart, store_holder_name,
+    Chooser, HolderTable, KvHolder, KvStores, Placement, PlacementPrices, PlacementRequest,
+    PrefillSplit, Prompt, PromptPart, store_holder_name,
 };
-use ryerouter_gateway::places::Places;
 use ryerouter_gateway::rollout::{NamedAt, WeightsDeadlines};
+use ryerouter_gateway::topology::Topology;
 use support::records::{POOL, STORE, ZONE, engine, model_table, model_table_with_stores, route};
 use support::test_dialect::{MODEL, PART_TOKENS, prompt};
 
@@ -41,9 +41,9 @@
     deadlines: WeightsDeadlines,
     isolated: Option<TenantName>,
     kv_stores: KvStores,
-    slowest_begin: Duration,
+    max_recent_start_delay: Duration,
     is_large: bool,
-    division: Option<Division>,
+    prefill_split: Option<PrefillSplit>,
     now: Timestamp,
 }
 
@@ -61,9 +61,9 @@
             deadlines: WeightsDeadlines::new(Duration::from_secs(7)),
             isolated: None,
             kv_stores: KvStores::default(),
-            slowest_begin: Duration::ZERO,
+            max_recent_start_delay: Duration::ZERO,
             is_large: false,
-            division: None,
+            prefill_split: None,
             now: Timestamp::from_millis(1_000_000),
         }
     }
@@ -79,12 +79,12 @@
             table: &self.table,
             kv_stores: &self.kv_stores,
             deadlines: &self.deadlines,
-            slowest_begin: self.slowest_begin,
+            max_recent_start_delay: self.max_recent_start_delay,
             prices: &PlacementPrices::default(),
-            division: self.division.as_ref(),
+            prefill_split: self.prefill_split.as_ref(),
             is_large: self.is_large,
             zone: &ZoneName::new(ZONE),
-            places: &Places::default(),
+            topology: &Topology::default(),
             now: self.now,
         };
         chooser.choose(&PlacementRequest {
@@ -110,7 +110,7 @@
         let engine = self.engines.get_mut(&BackEndName::new(name)).unwrap();
         engine.foreign_load = EngineLoad {
             requests: 30,
-            unread_tokens: 60_000,
+            prefill_tokens: 60_000,
             kv_tokens: 90_000,
         };
     }
@@ -292,7 +292,7 @@
     let named = world.now.before(Duration::from_millis(6_000));
     world.deadlines.note(MODEL, 2, NamedAt::Seen(named));
     assert!(world.choose(&prompt("s,x,1")).is_some());
-    world.slowest_begin = Duration::from_millis(1_100);
+    world.max_recent_start_delay = Duration::from_millis(1_100);
     assert!(world.choose(&prompt("s,x,1")).is_none());
 }
 
--- a/crates/gateway/tests/poison_news.rs
+++ b/crates/gateway/tests/poison_news.rs
@@ -191,19 +191,19 @@
 fn engine_that_has_taken_something_since_is_not_taken_for_ended_again() {
     run_paused(async {
         let nodes: Vec<_> = (0..2).map(node).collect();
-        let ended_at = || {
+        let crashed_at = || {
             let state = nodes[0].state();
             let engine = state.engines.get(&BackEndName::new("e1"));
-            engine.expect("engine").ended_at()
+            engine.expect("engine").crashed_at()
         };
         tell(&nodes[0], &nodes[1], vec![three_ends(["a", "b", "e1"])]);
-        assert!(ended_at().is_some());
+        assert!(crashed_at().is_some());
         let mut state = nodes[0].state_mut();
         let engine = state.engines.get_mut(&BackEndName::new("e1"));
         engine.expect("engine").note_accepted();
         drop(state);
         tell(&nodes[0], &nodes[1], vec![three_ends(["a", "b", "e1"])]);
-        assert!(ended_at().is_none());
+        assert!(crashed_at().is_none());
     });
 }
 
--- a/crates/gateway/tests/poison_trials.rs
+++ b/crates/gateway/tests/poison_trials.rs
@@ -95,7 +95,7 @@
         let ended = entries([closed_address().await]);
         let bench = start(ended.clone()).await;
         hold_back(&bench.gateway, "good");
-        note_ended(&bench.gateway, &ended[0].name);
+        note_crashed(&bench.gateway, &ended[0].name);
         let answer = bench.call("POST", &[(ID, "r1")], "good").await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         let seconds = answer.retry_after.expect("time to come back");
@@ -107,11 +107,11 @@
     });
 }
 
-fn note_ended(gateway: &Gateway, name: &BackEndName) {
+fn note_crashed(gateway: &Gateway, name: &BackEndName) {
     let now = gateway.clock().now();
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(name);
-    engine.expect("engine").note_ended(now, now);
+    engine.expect("engine").note_crashed(now, now);
 }
 
 fn engine_named(name: &str, pool: &CrashingPool) -> EngineEntry {
--- a/crates/gateway/tests/region_callers.rs
+++ b/crates/gateway/tests/region_callers.rs
@@ -12,7 +12,7 @@
     CallerNode, CallerPlace, CallerRing, Gateway, GatewaySettings, draw_addresses,
 };
 use ryerouter_gateway::peers::Capacity;
-use ryerouter_gateway::places::{Distance, Places};
+use ryerouter_gateway::topology::{Distance, Topology};
 use support::fleet::{ZONES, nodes_in_regions, three_regions};
 use support::gateway_bench::{configure, gateway_with, list_engines, run_paused, settings};
 use support::records::table;
@@ -32,10 +32,11 @@
     both_unnamed = { "x", "y", Distance::Remote },
 )]
 fn distance_follows_the_regions(left: &str, right: &str, expected: Distance) {
-    let distance = |places: Places| places.between(&ZoneName::new(left), &ZoneName::new(right));
+    let distance =
+        |topology: Topology| topology.distance(&ZoneName::new(left), &ZoneName::new(right));
     assert_eq!(distance(three_regions()), expected);
     // Where no region is known all zones lie in one.
-    assert!(distance(Places::default()) <= Distance::SameRegion);
+    assert!(distance(Topology::default()) <= Distance::SameRegion);
 }
 
 fn address(index: usize) -> SocketAddr {
--- a/crates/gateway/tests/region_placing.rs
+++ b/crates/gateway/tests/region_placing.rs
@@ -13,8 +13,8 @@
 use ryerouter_gateway::placement::{
     Chooser, HolderTable, KvHolder, KvStores, Placement, PlacementPrices, PlacementRequest, Prompt,
 };
-use ryerouter_gateway::places::Places;
 use ryerouter_gateway::rollout::WeightsDeadlines;
+use ryerouter_gateway::topology::Topology;
 use support::fleet::three_regions;
 use support::records::{POOL, engine, model_table, model_table_in, route};
 use support::test_dialect::prompt;
@@ -31,7 +31,7 @@
     holders: HolderTable,
     table: RoutingTable,
     kv_stores: KvStores,
-    places: Places,
+    topology: Topology,
     zone: ZoneName,
     is_large: bool,
     now: Timestamp,
@@ -51,7 +51,7 @@
             holders: HolderTable::new(100),
             table: model_table(vec![route(RequestKind::Streaming)]),
             kv_stores: KvStores::default(),
-            places: three_regions(),
+            topology: three_regions(),
             zone: ZoneName::new("a1"),
             is_large: false,
             now: Timestamp::from_millis(1_000_000),
@@ -65,12 +65,12 @@
             table: &self.table,
             kv_stores: &self.kv_stores,
             deadlines: &WeightsDeadlines::new(Duration::from_secs(7)),
-            slowest_begin: Duration::ZERO,
+            max_recent_start_delay: Duration::ZERO,
             prices: &PlacementPrices::default(),
-            division: None,
+            prefill_split: None,
             is_large: self.is_large,
             zone: &self.zone,
-            places: &self.places,
+            topology: &self.topology,
             now: self.now,
         };
         let placement = chooser.choose(&PlacementRequest {
--- a/crates/gateway/tests/releases_evidence.rs
+++ b/crates/gateway/tests/releases_evidence.rs
@@ -93,8 +93,8 @@
         assert_eq!(counts.target(), expected);
         assert_eq!(counts.present(), ONE_GOOD);
         let sent = bench.bench.gateway.state();
-        let account = sent.releases.of(&pool()).unwrap().account;
-        assert_eq!((account.all(), account.target()), (1, 1));
+        let exposure_budget = sent.releases.of(&pool()).unwrap().exposure_budget;
+        assert_eq!((exposure_budget.all(), exposure_budget.target()), (1, 1));
         let requests = &bench.bench.gateway.metrics().release_requests;
         let sent_to = |version| requests.with_label_values(&["pool", version]).get();
         assert_eq!((sent_to("target"), sent_to("present")), (1, 1));
@@ -190,7 +190,7 @@
         software: software.to_owned(),
         is_cold: known.is_some_and(|known| known.is_cold(now)),
         is_stream: false,
-        unread_tokens: 100,
+        prefill_tokens: 100,
         sent_at: now,
         first_event_at: None,
         events: 0,
@@ -275,7 +275,7 @@
     run_paused(async {
         let node = node_in_trial().await;
         let mut watch = sent(&node, "new-1", TARGET);
-        watch.unread_tokens = 4_000;
+        watch.prefill_tokens = 4_000;
         stream_of(watch.clone(), &node, SLOW, USUAL).await;
         assert_eq!(counts(&node).target(), ONE_GOOD);
         watch.sent_at = node.clock().now();
@@ -404,7 +404,7 @@
             let ended = node.clock().now();
             let mut state = node.state_mut();
             let engine = state.engines.get_mut(&name).expect("engine");
-            engine.note_ended(watch.sent_at, ended);
+            engine.note_crashed(watch.sent_at, ended);
         }
         advance(USUAL).await;
         let later = sent(&node, "new-1", TARGET);
--- a/crates/gateway/tests/releases_placement.rs
+++ b/crates/gateway/tests/releases_placement.rs
@@ -113,15 +113,15 @@
         beside.publish_grant(grant(Stage::Trial, 0.05, 1));
         for node in [&alone, &beside] {
             let now = node.clock().now();
-            let demand = &mut node.state_mut().reading_demand;
+            let demand = &mut node.state_mut().prefill_demand;
             demand.count(&pool(), TOKENS_PER_SECOND, now);
         }
-        let division = |node: &Gateway| {
+        let prefill_split = |node: &Gateway| {
             node.refresh_divisions();
             node.state_mut().divisions.remove(&pool())
         };
-        let expected = division(&alone);
+        let expected = prefill_split(&alone);
         assert!(expected.is_some());
-        assert_eq!(division(&beside), expected);
+        assert_eq!(prefill_split(&beside), expected);
     });
 }
--- a/crates/gateway/tests/silent_engines.rs
+++ b/crates/gateway/tests/silent_engines.rs
@@ -175,12 +175,12 @@
     }
     estimate.note(Duration::from_millis(100));
     assert!(estimate.is_settled());
-    let longest = estimate.longest_while_others_are_answered();
+    let longest = estimate.max_while_others_answered();
     assert!(longest >= Duration::from_millis(250), "{longest:?}");
-    assert!(estimate.longest_without_news() > longest);
-    let before = estimate.longest_without_news();
+    assert!(estimate.max_without_response() > longest);
+    let before = estimate.max_without_response();
     estimate.note(Duration::from_secs(2));
-    assert!(estimate.longest_without_news() > before);
+    assert!(estimate.max_without_response() > before);
 }
 
 #[test]
@@ -190,7 +190,7 @@
     let mut window = RetryWindow::default();
     (0..100).for_each(|_| window.count_request(&settings, now));
     let spare = (0..100)
-        .filter(|_| window.spend_spare(&settings, 1, now))
+        .filter(|_| window.spend_speculative(&settings, 1, now))
         .count();
     let rest = (0..100).filter(|_| window.spend(&settings, 1, now)).count();
     // 0.8 of a floor of 10 and a fifth of 100 requests.
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -5,8 +5,8 @@
 
 use ryerouter_core::identity::{RegionName, ZoneName};
 use ryerouter_gateway::gateway::{Gateway, Parcel};
-use ryerouter_gateway::places::Places;
 use ryerouter_gateway::source::{Item, ItemKind};
+use ryerouter_gateway::topology::Topology;
 
 use super::gateway_bench::{configure, gateway_with, settings};
 use super::records::{ZONE, engine, table};
@@ -19,15 +19,15 @@
 }
 
 pub fn node_in(index: usize, zone: &str) -> Rc<Gateway> {
-    node_at(index, zone, Places::default())
+    node_at(index, zone, Topology::default())
 }
 
 /// A node that knows which zone lies in which region.
-pub fn node_at(index: usize, zone: &str, places: Places) -> Rc<Gateway> {
+pub fn node_at(index: usize, zone: &str, topology: Topology) -> Rc<Gateway> {
     let mut own = settings(&format!("node-{index:02}"));
     own.identity.incarnation = index as u64 + 10;
     own.identity.zone = ZoneName::new(zone);
-    own.places = places;
+    own.topology = topology;
     let port = 10_000 + index;
     own.identity.peer_address = format!("127.0.0.1:{port}").parse().unwrap();
     own.identity.caller_address = format!("127.0.0.2:{port}").parse().unwrap();
@@ -71,9 +71,9 @@
 pub const ZONES: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
 
 /// The region of each of these zones.
-pub fn three_regions() -> Places {
+pub fn three_regions() -> Topology {
     let region_of = |zone: &str| (ZoneName::new(zone), RegionName::new(&zone[..1]));
-    Places::new(ZONES.into_iter().map(region_of).collect())
+    Topology::new(ZONES.into_iter().map(region_of).collect())
 }
 
 /// So many nodes in each of these zones, in order of the zones; each has heard of all others.
--- a/crates/gateway/tests/support/gateway_bench.rs
+++ b/crates/gateway/tests/support/gateway_bench.rs
@@ -18,11 +18,11 @@
 use ryerouter_gateway::gateway::{Gateway, GatewaySettings};
 use ryerouter_gateway::peers::{Capacity, NodeIdentity};
 use ryerouter_gateway::placement::PlacementPrices;
-use ryerouter_gateway::places::Places;
 use ryerouter_gateway::retry::RetrySettings;
 use ryerouter_gateway::rollout::RolloutSettings;
 use ryerouter_gateway::serve::{StopSettings, planned_stop, serve_callers, serve_callers_on};
 use ryerouter_gateway::source::{Item, ItemChange, ItemKind};
+use ryerouter_gateway::topology::Topology;
 use ryerouter_gateway::upstream::ConnectSettings;
 use slog::{Logger, o};
 use tokio::net::{TcpListener, TcpStream};
@@ -63,7 +63,7 @@
             zone: ZoneName::new(super::records::ZONE),
             capacity: Capacity::default(),
         },
-        places: Places::default(),
+        topology: Topology::default(),
         seeds: Vec::new(),
         most_unproven: Some(Duration::from_secs(3600)),
         weights_grace: Duration::from_secs(7),
--- a/crates/gateway/tests/support/region_fleet.rs
+++ b/crates/gateway/tests/support/region_fleet.rs
@@ -9,8 +9,8 @@
 
 use ryerouter_gateway::gateway::{Gateway, Parcel};
 use ryerouter_gateway::peers::{Datagram, NodeState};
-use ryerouter_gateway::places::Distance;
 use ryerouter_gateway::source::{CatalogueSource, FollowSettings, ItemKind, follow, keep_fresh};
+use ryerouter_gateway::topology::Distance;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, interval, sleep};
 
@@ -61,7 +61,7 @@
             own.catalogue_bound = Duration::from_secs(2);
             own.most_unproven = Some(MOST_UNPROVEN);
             if knows_regions {
-                own.places = three_regions();
+                own.topology = three_regions();
             }
             gateway_with(own)
         });
@@ -291,7 +291,7 @@
     /// How far two nodes are from each other.
     pub fn distance(&self, one: usize, other: usize) -> Distance {
         let zone = |index: usize| &self.nodes[index].settings().identity.zone;
-        three_regions().between(zone(one), zone(other))
+        three_regions().distance(zone(one), zone(other))
     }
 }
 
--- a/crates/gateway/tests/support/release_node.rs
+++ b/crates/gateway/tests/support/release_node.rs
@@ -106,14 +106,14 @@
     pub fn fail_target(&self, pool: &str) {
         let mut state = self.gateway.state_mut();
         let known = state.releases.of_mut(&PoolName::new(pool));
-        let ledger = &mut known.expect("release").ledger;
+        let cluster_counts = &mut known.expect("release").cluster_counts;
         for number in 1..=u32::from(ENGINES) {
             let cell = CountKey {
                 route: 1,
                 engine: number,
             };
-            ledger.note(cell, Judgement::Failed);
-            ledger.note(CountKey::present(1), Judgement::Good);
+            cluster_counts.note(cell, Judgement::Failed);
+            cluster_counts.note(CountKey::present(1), Judgement::Good);
         }
     }
 
@@ -121,14 +121,14 @@
     pub fn serve_target(&self, pool: &str, times: u32) {
         let mut state = self.gateway.state_mut();
         let known = state.releases.of_mut(&PoolName::new(pool));
-        let ledger = &mut known.expect("release").ledger;
+        let cluster_counts = &mut known.expect("release").cluster_counts;
         for number in 1..=u32::from(ENGINES) * times {
             let cell = CountKey {
                 route: 1,
                 engine: 1 + number % u32::from(ENGINES),
             };
-            ledger.note(cell, Judgement::Good);
-            ledger.note(CountKey::present(1), Judgement::Good);
+            cluster_counts.note(cell, Judgement::Good);
+            cluster_counts.note(CountKey::present(1), Judgement::Good);
         }
     }
 }
@@ -136,8 +136,8 @@
 /// Bounds of releases: grants last 2 s.
 pub fn bounds() -> Settings {
     Settings {
-        exposed_share: 0.1,
-        exposed_slack: 50.0,
+        exposure_share: 0.1,
+        exposure_slack: 50.0,
         rollback_within: Duration::from_secs(5),
     }
 }
--- a/crates/gateway/tests/support/releases.rs
+++ b/crates/gateway/tests/support/releases.rs
@@ -9,7 +9,7 @@
 use ryerouter_gateway::engines::EngineEntry;
 use ryerouter_gateway::gateway::{Gateway, GatewaySettings};
 use ryerouter_gateway::placement::{Placement, PlacementRequest};
-use ryerouter_gateway::places::Places;
+use ryerouter_gateway::topology::Topology;
 
 use super::gateway_bench::{configure, gateway_with, list_engines, settings};
 use super::records::{POOL, ZONE, engine, route, table};
@@ -22,8 +22,8 @@
 
 pub fn bounds() -> Settings {
     Settings {
-        exposed_share: SHARE,
-        exposed_slack: SLACK,
+        exposure_share: SHARE,
+        exposure_slack: SLACK,
         rollback_within: ROLLBACK_WITHIN,
     }
 }
@@ -95,15 +95,15 @@
 
 /// A node that knows its configuration only.
 pub fn new_node(index: usize, zone: &str) -> Rc<Gateway> {
-    new_node_at(index, zone, Places::default())
+    new_node_at(index, zone, Topology::default())
 }
 
 /// The same, which knows which zone lies in which region.
-pub fn new_node_at(index: usize, zone: &str, places: Places) -> Rc<Gateway> {
+pub fn new_node_at(index: usize, zone: &str, topology: Topology) -> Rc<Gateway> {
     let mut own = release_settings(&format!("node-{index:02}"));
     own.identity.incarnation = index as u64 + 10;
     own.identity.zone = ZoneName::new(zone);
-    own.places = places;
+    own.topology = topology;
     let port = 10_000 + index;
     own.identity.peer_address = format!("127.0.0.1:{port}").parse().expect("address");
     let gateway = gateway_with(own);
