--- a/crates/gateway/tests/weights.rs
+++ b/crates/gateway/tests/weights.rs
@@ -6,7 +6,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::{BackEndName, PoolName};
-use ryerouter_gateway::engines::{BeginTimes, EngineLoad, EngineTable};
+use ryerouter_gateway::engines::{EngineLoad, EngineTable, StartDelays};
 use ryerouter_gateway::rollout::{
     EngineReport, NamedAt, OrderOutcome, RolloutAction, RolloutPlanner, RolloutSettings,
     WeightsDeadlines,
@@ -190,7 +190,7 @@
     rollout.advance(0);
     let name = BackEndName::new("e00");
     let engine = rollout.engines.get_mut(&name).unwrap();
-    engine.foreign_load.unread_tokens = 500;
+    engine.foreign_load.prefill_tokens = 500;
     let announced = rollout.report("e00", 0, 1, 10);
     assert!(matches!(
         announced[..],
@@ -198,13 +198,13 @@
     ));
     assert_eq!(expected_orders(&rollout.advance(20)), None);
     let engine = rollout.engines.get_mut(&name).unwrap();
-    engine.foreign_load.unread_tokens = 0;
+    engine.foreign_load.prefill_tokens = 0;
     assert_eq!(expected_orders(&rollout.advance(30)), Some(0));
 
     let mut rollout = Rollout::due(1);
     rollout.advance(0);
     let engine = rollout.engines.get_mut(&name).unwrap();
-    engine.foreign_load.unread_tokens = 500;
+    engine.foreign_load.prefill_tokens = 500;
     rollout.report("e00", 0, 1, 10);
     assert_eq!(expected_orders(&rollout.advance(400)), None);
     assert_eq!(expected_orders(&rollout.advance(410)), Some(0));
@@ -350,14 +350,14 @@
 
 #[test]
 fn slowest_begin_lately_fades() {
-    let mut times = BeginTimes::default();
+    let mut times = StartDelays::default();
     let pool = PoolName::new(POOL);
     times.note(&pool, Duration::from_millis(1_200), at(0));
     times.note(&pool, Duration::from_millis(300), at(100));
-    assert_eq!(times.slowest(&pool, at(0)).as_millis(), 1_200);
-    assert_eq!(times.slowest(&pool, at(2_000)).as_millis(), 600);
+    assert_eq!(times.max_recent(&pool, at(0)).as_millis(), 1_200);
+    assert_eq!(times.max_recent(&pool, at(2_000)).as_millis(), 600);
     times.note(&pool, Duration::from_millis(700), at(2_000));
-    assert_eq!(times.slowest(&pool, at(2_000)).as_millis(), 700);
+    assert_eq!(times.max_recent(&pool, at(2_000)).as_millis(), 700);
 }
 
 #[test]
--- a/crates/gateway/tests/wide_zone.rs
+++ b/crates/gateway/tests/wide_zone.rs
@@ -20,7 +20,7 @@
 /// A quarter of what a further request notices.
 const LOAD: EngineLoad = EngineLoad {
     requests: 1,
-    unread_tokens: 100,
+    prefill_tokens: 100,
     kv_tokens: 100,
 };
 
@@ -146,7 +146,9 @@
         assert!(!nodes[40].has_peer_news());
         nodes[0].hear_peer(nodes[40].peer_message(false));
         deliver(&nodes, nodes[0].next_news_of_own_zone());
-        let heard = nodes.iter().filter(|node| node.state().holders.knows(key));
+        let heard = nodes
+            .iter()
+            .filter(|node| node.state().holders.contains(key));
         assert!(heard.count() >= 99);
         // The other zones hear of it with the same heartbeat.
         assert_eq!(nodes[0].next_zone_news(false), None);
