--- a/crates/gateway/src/engines/engine_load.rs
+++ b/crates/gateway/src/engines/engine_load.rs
@@ -10,7 +10,7 @@
     pub requests: u32,
     /// Prompt tokens that are yet to be read (estimate).
     #[serde(rename = "u")]
-    pub prefill_tokens: u32,
+    pub unread_tokens: u32,
     /// Tokens of KV memory that the requests occupy (estimate).
     #[serde(rename = "k")]
     pub kv_tokens: u32,
@@ -29,21 +29,21 @@
     pub fn is_significant(self, slots: u32, prefill_tokens_per_ms: f64) -> bool {
         let filled = (f64::from(slots) * SIGNIFICANT_SLOT_SHARE).max(MIN_SIGNIFICANT_REQUESTS);
         let is_filled = f64::from(self.requests) >= filled;
-        let prefill_ms = f64::from(self.prefill_tokens) / prefill_tokens_per_ms;
+        let prefill_ms = f64::from(self.unread_tokens) / prefill_tokens_per_ms;
         is_filled || prefill_ms >= SIGNIFICANT_PREFILL_MS
     }
 
     /// Adds other work.
     pub fn add(&mut self, other: Self) {
         self.requests += other.requests;
-        self.prefill_tokens = self.prefill_tokens.saturating_add(other.prefill_tokens);
+        self.unread_tokens = self.unread_tokens.saturating_add(other.unread_tokens);
         self.kv_tokens = self.kv_tokens.saturating_add(other.kv_tokens);
     }
 
     /// Takes other work off.
     pub fn remove(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
-        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
+        self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
         self.kv_tokens = self.kv_tokens.saturating_sub(other.kv_tokens);
     }
 }
--- a/crates/gateway/src/engines/in_flight.rs
+++ b/crates/gateway/src/engines/in_flight.rs
@@ -22,11 +22,11 @@
     /// The first token arrived, so the prompt has been read.
     pub fn note_prefill_done(&mut self) {
         let read = EngineLoad {
-            prefill_tokens: self.load.prefill_tokens,
+            unread_tokens: self.load.unread_tokens,
             ..EngineLoad::default()
         };
         self.counter.borrow_mut().remove(read);
-        self.load.prefill_tokens = 0;
+        self.load.unread_tokens = 0;
     }
 }
 
--- a/crates/gateway/src/gateway/dividing.rs
+++ b/crates/gateway/src/gateway/dividing.rs
@@ -20,7 +20,7 @@
         if is_prefill_heavy(prompt, &self.settings().prices) {
             let now = self.clock().now();
             let demand = &mut self.state_mut().prefill_demand;
-            demand.count(request.pool, placement.prefill_tokens, now);
+            demand.count(request.pool, placement.unread_tokens, now);
         }
     }
 
--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -108,7 +108,7 @@
             software: engine.entry.software.clone(),
             is_cold: engine.is_cold(now),
             is_stream: request.is_stream(),
-            prefill_tokens: placement.prefill_tokens,
+            unread_tokens: placement.unread_tokens,
             sent_at: now,
             first_event_at: None,
             events: 0,
--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -72,7 +72,7 @@
     engine: &'a Engine,
     version: Option<&'a PromptForWeights>,
     cached_tokens: u32,
-    prefill_tokens: u32,
+    unread_tokens: u32,
     fetch: Option<KvFetch>,
     save_to: Option<SocketAddr>,
     cost: CandidateCost,
@@ -128,7 +128,7 @@
                 .version
                 .map_or_else(PromptKeys::default, |version| version.keys.clone()),
             cached_tokens: best.cached_tokens,
-            prefill_tokens: best.prefill_tokens,
+            unread_tokens: best.unread_tokens,
             fetch: best.fetch,
             save_to: best.save_to,
             cost: best.cost,
@@ -242,7 +242,7 @@
             engine,
             version: None,
             cached_tokens: 0,
-            prefill_tokens: 0,
+            unread_tokens: 0,
             fetch: None,
             save_to: None,
             cost,
@@ -265,14 +265,14 @@
         let fetch = self.best_fetch(engine, version, cached_tokens);
         let fetched = fetch.as_ref().map_or(0, |fetch| fetch.tokens);
         let known = cached_tokens + fetched;
-        let prefill_tokens = prompt.prompt_tokens.saturating_sub(known).max(1);
-        let starts_at = self.now.after(self.max_start_delay(engine, prefill_tokens));
+        let unread_tokens = prompt.prompt_tokens.saturating_sub(known).max(1);
+        let starts_at = self.now.after(self.max_start_delay(engine, unread_tokens));
         if !self.deadlines.allows(&prompt.model, weights, starts_at) {
             return None;
         }
         let mut cost = CandidateCost {
-            late: self.first_token_cost(engine, profile, prefill_tokens, fetch.as_ref(), request),
-            pauses: self.pause_cost(engine, prefill_tokens, request),
+            late: self.first_token_cost(engine, profile, unread_tokens, fetch.as_ref(), request),
+            pauses: self.pause_cost(engine, unread_tokens, request),
             stale: self.stale_cost(&prompt.model, weights),
             zone: self.zone_cost(engine, request),
             load: self.state_cost(engine) + self.occupancy_cost(engine, profile, prompt),
@@ -288,7 +288,7 @@
             save_to: self.save_to(engine, keys),
             order: version.order_of(engine),
             cached_tokens,
-            prefill_tokens,
+            unread_tokens,
             fetch,
             cost,
         })
--- a/crates/gateway/src/placement/chooser/costs.rs
+++ b/crates/gateway/src/placement/chooser/costs.rs
@@ -53,8 +53,8 @@
     }
 
     /// Longest time until a request begins there (estimate, on the safe side).
-    pub(super) fn max_start_delay(&self, engine: &Engine, prefill_tokens: u32) -> Duration {
-        let queued = f64::from(engine.load().prefill_tokens) + f64::from(prefill_tokens);
+    pub(super) fn max_start_delay(&self, engine: &Engine, unread_tokens: u32) -> Duration {
+        let queued = f64::from(engine.load().unread_tokens) + f64::from(unread_tokens);
         let estimate =
             Duration::from_secs_f64(2.0 * queued / self.prices.prefill_tokens_per_ms / 1e3);
         estimate.max(self.max_recent_start_delay)
@@ -64,11 +64,11 @@
         &self,
         engine: &Engine,
         profile: &EngineProfile,
-        prefill_tokens: u32,
+        unread_tokens: u32,
         fetch: Option<&KvFetch>,
         request: &PlacementRequest<'_>,
     ) -> f64 {
-        let queued = f64::from(engine.load().prefill_tokens) + f64::from(prefill_tokens);
+        let queued = f64::from(engine.load().unread_tokens) + f64::from(unread_tokens);
         let prefill_ms = queued / self.prices.prefill_tokens_per_ms;
         let fetch_ms = fetch.map_or(0.0, |fetch| self.fetch_ms(engine, fetch, profile));
         self.late_cost(prefill_ms + fetch_ms + self.delay_ms(engine), request)
@@ -123,7 +123,7 @@
     pub(super) fn pause_cost(
         &self,
         engine: &Engine,
-        prefill_tokens: u32,
+        unread_tokens: u32,
         request: &PlacementRequest<'_>,
     ) -> f64 {
         let Some(longest) = self.table.longest_pause(request.pool) else {
@@ -134,8 +134,8 @@
             false => self.prices.wrong_split_side,
         };
         let load = engine.load();
-        let before = self.pause_risk(load.prefill_tokens, longest);
-        let after = self.pause_risk(load.prefill_tokens.saturating_add(prefill_tokens), longest);
+        let before = self.pause_risk(load.unread_tokens, longest);
+        let after = self.pause_risk(load.unread_tokens.saturating_add(unread_tokens), longest);
         wrong_split_side
             + f64::from(load.requests) * (after - before) * self.prices.first_token_at_target
     }
--- a/crates/gateway/src/placement/chosen_engine.rs
+++ b/crates/gateway/src/placement/chosen_engine.rs
@@ -47,7 +47,7 @@
     /// Tokens expected in its cache.
     pub cached_tokens: u32,
     /// Tokens that it has to read (estimate).
-    pub prefill_tokens: u32,
+    pub unread_tokens: u32,
     /// Fetched before.
     pub fetch: Option<KvFetch>,
     /// The store of kept KV cache that its shared parts should be saved to.
--- a/crates/gateway/src/release/answer_timing.rs
+++ b/crates/gateway/src/release/answer_timing.rs
@@ -43,7 +43,7 @@
     /// Whether the answer is a stream.
     pub is_stream: bool,
     /// Prompt tokens that it has to read (estimate).
-    pub prefill_tokens: u32,
+    pub unread_tokens: u32,
     /// When the request was sent.
     pub sent_at: Timestamp,
     /// When the first event came.
@@ -123,8 +123,8 @@
     fn first_part(&self, now: Timestamp) -> (TimedPart, Duration) {
         let until = self.first_event_at.unwrap_or(now);
         let part = match self.is_stream {
-            true => TimedPart::first_event(self.prefill_tokens),
-            false => TimedPart::whole(self.prefill_tokens),
+            true => TimedPart::first_event(self.unread_tokens),
+            false => TimedPart::whole(self.unread_tokens),
         };
         (part, until.since(self.sent_at))
     }
--- a/crates/gateway/src/release/paces.rs
+++ b/crates/gateway/src/release/paces.rs
@@ -30,18 +30,18 @@
 
 impl TimedPart {
     /// All of an answer, after reading so many tokens.
-    pub fn whole(prefill_tokens: u32) -> Self {
-        Self::Whole(class_of(prefill_tokens))
+    pub fn whole(unread_tokens: u32) -> Self {
+        Self::Whole(class_of(unread_tokens))
     }
 
     /// The first event after reading so many tokens.
-    pub fn first_event(prefill_tokens: u32) -> Self {
-        Self::FirstEvent(class_of(prefill_tokens))
+    pub fn first_event(unread_tokens: u32) -> Self {
+        Self::FirstEvent(class_of(unread_tokens))
     }
 }
 
-fn class_of(prefill_tokens: u32) -> usize {
-    let smaller = UNREAD_CLASSES.iter().filter(|most| prefill_tokens > **most);
+fn class_of(unread_tokens: u32) -> usize {
+    let smaller = UNREAD_CLASSES.iter().filter(|most| unread_tokens > **most);
     smaller.count()
 }
 
--- a/crates/gateway/src/rollout/rollout_planner.rs
+++ b/crates/gateway/src/rollout/rollout_planner.rs
@@ -154,7 +154,7 @@
                 continue;
             };
             let load = engines.get(name).map(Engine::load).unwrap_or_default();
-            if load.prefill_tokens > 0 && now < until {
+            if load.unread_tokens > 0 && now < until {
                 continue;
             }
             open.step = OrderStep::Given;
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -106,7 +106,7 @@
     let prompt = request.caller.prompt.as_ref();
     let load = EngineLoad {
         requests: 1,
-        prefill_tokens: placement.prefill_tokens,
+        unread_tokens: placement.unread_tokens,
         kv_tokens: prompt.map_or(0, |prompt| prompt.prompt_tokens + prompt.output_tokens),
     };
     let state = gateway.state();
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -335,7 +335,7 @@
             "fetched" => fetch.map(|fetch| fetch.tokens),
             "fetched_from" => fetch.map(|fetch| fetch.holder.to_string()),
             "prefix" => placement.keys.shared().last().map(|(key, _)| format!("{:016x}", key.0)),
-            "saved" => placement.save_to.is_some(), "unread" => placement.prefill_tokens,
+            "saved" => placement.save_to.is_some(), "unread" => placement.unread_tokens,
             "expected_tokens" => request.caller.prompt.as_ref().and_then(|prompt| prompt.expected_tokens),
             "head_ms" => self.head_ms, "first_event_ms" => self.first_event_ms,
             "longest_pause_ms" => self.longest_pause_ms, "cost" => %placement.cost,
@@ -366,7 +366,7 @@
     let by_source = [
         ("cached", placement.cached_tokens),
         ("fetched", fetched),
-        ("read", placement.prefill_tokens),
+        ("read", placement.unread_tokens),
     ];
     for (source, count) in by_source {
         tokens.with_label_values(&[source]).inc_by(u64::from(count));
--- a/crates/gateway/tests/dividing.rs
+++ b/crates/gateway/tests/dividing.rs
@@ -205,7 +205,7 @@
     let mut side = Side::new();
     let crowded = EngineLoad {
         requests: 8,
-        prefill_tokens: 60_000,
+        unread_tokens: 60_000,
         kv_tokens: 60_000,
     };
     side.load(crowded, true);
@@ -229,7 +229,7 @@
         let engine = side.engines.get_mut(&name(index)).unwrap();
         engine.foreign_load = EngineLoad {
             requests: 6,
-            prefill_tokens: if index == 0 { 0 } else { 12_000 },
+            unread_tokens: if index == 0 { 0 } else { 12_000 },
             kv_tokens: 0,
         };
     }
@@ -263,7 +263,7 @@
 
 fn divided(node: &Gateway) -> bool {
     node.refresh_divisions();
-    !node.state().divisions.is_empty()
+    !node.state().prefill_splits.is_empty()
 }
 
 #[test]
@@ -288,7 +288,8 @@
         assert!(divided(&first));
         second.hear_peer(first.peer_message(true));
         assert!(divided(&second));
-        let reading = |node: &Gateway| node.state().divisions[&pool].count(&node.state().engines);
+        let reading =
+            |node: &Gateway| node.state().prefill_splits[&pool].count(&node.state().engines);
         assert_eq!(reading(&first), reading(&second));
     });
 }
--- a/crates/gateway/tests/engine_lives.rs
+++ b/crates/gateway/tests/engine_lives.rs
@@ -85,7 +85,7 @@
 fn one_request() -> EngineLoad {
     EngineLoad {
         requests: 1,
-        prefill_tokens: 100,
+        unread_tokens: 100,
         kv_tokens: 100,
     }
 }
@@ -388,7 +388,7 @@
         salt: None,
         keys: PromptKeys(vec![(PART, 900), (PartKey(8), 1_000)]),
         cached_tokens: 0,
-        prefill_tokens: 900,
+        unread_tokens: 900,
         fetch: None,
         save_to: None,
         cost: CandidateCost::default(),
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -110,7 +110,7 @@
         let engine = self.engines.get_mut(&BackEndName::new(name)).unwrap();
         engine.foreign_load = EngineLoad {
             requests: 30,
-            prefill_tokens: 60_000,
+            unread_tokens: 60_000,
             kv_tokens: 90_000,
         };
     }
--- a/crates/gateway/tests/releases_evidence.rs
+++ b/crates/gateway/tests/releases_evidence.rs
@@ -190,7 +190,7 @@
         software: software.to_owned(),
         is_cold: known.is_some_and(|known| known.is_cold(now)),
         is_stream: false,
-        prefill_tokens: 100,
+        unread_tokens: 100,
         sent_at: now,
         first_event_at: None,
         events: 0,
@@ -275,7 +275,7 @@
     run_paused(async {
         let node = node_in_trial().await;
         let mut watch = sent(&node, "new-1", TARGET);
-        watch.prefill_tokens = 4_000;
+        watch.unread_tokens = 4_000;
         stream_of(watch.clone(), &node, SLOW, USUAL).await;
         assert_eq!(counts(&node).target(), ONE_GOOD);
         watch.sent_at = node.clock().now();
--- a/crates/gateway/tests/releases_news.rs
+++ b/crates/gateway/tests/releases_news.rs
@@ -53,7 +53,7 @@
         software: software.to_owned(),
         is_cold: false,
         is_stream: false,
-        prefill_tokens: 0,
+        unread_tokens: 0,
         sent_at: node.clock().now(),
         first_event_at: None,
         events: 0,
--- a/crates/gateway/tests/releases_placement.rs
+++ b/crates/gateway/tests/releases_placement.rs
@@ -118,7 +118,7 @@
         }
         let prefill_split = |node: &Gateway| {
             node.refresh_divisions();
-            node.state_mut().divisions.remove(&pool())
+            node.state_mut().prefill_splits.remove(&pool())
         };
         let expected = prefill_split(&alone);
         assert!(expected.is_some());
--- a/crates/gateway/tests/releases_play.rs
+++ b/crates/gateway/tests/releases_play.rs
@@ -102,7 +102,7 @@
             software,
             is_cold: false,
             is_stream: false,
-            prefill_tokens: 0,
+            unread_tokens: 0,
             sent_at: node.clock().now().before(Duration::from_secs_f64(took)),
             first_event_at: None,
             events: 0,
--- a/crates/gateway/tests/weights.rs
+++ b/crates/gateway/tests/weights.rs
@@ -190,7 +190,7 @@
     rollout.advance(0);
     let name = BackEndName::new("e00");
     let engine = rollout.engines.get_mut(&name).unwrap();
-    engine.foreign_load.prefill_tokens = 500;
+    engine.foreign_load.unread_tokens = 500;
     let announced = rollout.report("e00", 0, 1, 10);
     assert!(matches!(
         announced[..],
@@ -198,13 +198,13 @@
     ));
     assert_eq!(expected_orders(&rollout.advance(20)), None);
     let engine = rollout.engines.get_mut(&name).unwrap();
-    engine.foreign_load.prefill_tokens = 0;
+    engine.foreign_load.unread_tokens = 0;
     assert_eq!(expected_orders(&rollout.advance(30)), Some(0));
 
     let mut rollout = Rollout::due(1);
     rollout.advance(0);
     let engine = rollout.engines.get_mut(&name).unwrap();
-    engine.foreign_load.prefill_tokens = 500;
+    engine.foreign_load.unread_tokens = 500;
     rollout.report("e00", 0, 1, 10);
     assert_eq!(expected_orders(&rollout.advance(400)), None);
     assert_eq!(expected_orders(&rollout.advance(410)), Some(0));
--- a/crates/gateway/tests/wide_zone.rs
+++ b/crates/gateway/tests/wide_zone.rs
@@ -20,7 +20,7 @@
 /// A quarter of what a further request notices.
 const LOAD: EngineLoad = EngineLoad {
     requests: 1,
-    prefill_tokens: 100,
+    unread_tokens: 100,
     kv_tokens: 100,
 };
 
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -46,7 +46,7 @@
         let engine = BackEndName::new("e1");
         let load = EngineLoad {
             requests: 3,
-            prefill_tokens: 500,
+            unread_tokens: 500,
             kv_tokens: 900,
         };
         let own_load = {
@@ -82,7 +82,7 @@
             salt: None,
             keys: PromptKeys(keys.to_vec()),
             cached_tokens: 0,
-            prefill_tokens: 900,
+            unread_tokens: 900,
             fetch: None,
             save_to: None,
             cost: CandidateCost::default(),
