--- a/crates/core/src/release/exposure_budget.rs
+++ b/crates/core/src/release/budget.rs
@@ -8,12 +8,12 @@
 /// The bound holds over all nodes and for the whole release. It is a share of the requests, so it holds
 /// for the sum when each node keeps to it by itself, and no message has to arrive for that.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ExposureBudget {
+pub struct Budget {
     all: u64,
     target: u64,
 }
 
-impl ExposureBudget {
+impl Budget {
     /// A request goes to an engine of the pool for the first time.
     pub fn count(&mut self) {
         self.all += 1;
--- a/crates/core/src/release/cluster_counts.rs
+++ b/crates/core/src/release/evidence.rs
@@ -12,12 +12,12 @@
 /// Each reporter's figures only rise, so the sum does too: a node that is silent for a while, or is
 /// lost, is counted once and not anew, and what it saw before stays known.
 #[derive(Debug, Clone, Default)]
-pub struct ClusterCounts {
+pub struct Evidence {
     own: Counts,
     reports: BTreeMap<Reporter, Counts>,
 }
 
-impl ClusterCounts {
+impl Evidence {
     /// This node saw an answer.
     pub fn note(&mut self, key: CountKey, judgement: Judgement) {
         self.own.note(key, judgement);
--- a/crates/core/src/release/mod.rs
+++ b/crates/core/src/release/mod.rs
@@ -11,13 +11,13 @@
 //! changes with the engine.
 
 mod baseline;
-mod cluster_counts;
+mod budget;
 mod comparison;
 mod count_key;
 mod counts;
 mod cumulative_sum;
+mod evidence;
 mod exposure;
-mod exposure_budget;
 mod fleet;
 mod grant;
 mod judgement;
@@ -31,12 +31,12 @@
 mod tally;
 
 pub use baseline::Baseline;
-pub use cluster_counts::{ClusterCounts, Reporter};
+pub use budget::Budget;
 pub use comparison::Comparison;
 pub use count_key::{CountKey, EngineKey, PRESENT, RouteKey, key_of};
 pub use counts::Counts;
+pub use evidence::{Evidence, Reporter};
 pub use exposure::{Exposure, Window};
-pub use exposure_budget::ExposureBudget;
 pub use fleet::Fleet;
 pub use grant::Grant;
 pub use judgement::Judgement;
--- a/crates/core/tests/release_trial.rs
+++ b/crates/core/tests/release_trial.rs
@@ -8,7 +8,7 @@
 use release_world::{Case, End, Fault, Slowness, Trouble, USUAL_BAD, order, play, settings};
 use ryerouter_core::Timestamp;
 use ryerouter_core::release::{
-    ClusterCounts, CountKey, Counts, Exposure, Fleet, Grant, Judgement, Progress, Stage, Window,
+    CountKey, Counts, Evidence, Exposure, Fleet, Grant, Judgement, Progress, Stage, Window,
 };
 use yare::parameterized;
 
@@ -345,14 +345,14 @@
         }
         counts
     };
-    let mut cluster_counts = ClusterCounts::default();
-    cluster_counts.note(cell, Judgement::Failed);
-    cluster_counts.merge_report(1, &counts(5));
-    cluster_counts.merge_report(1, &counts(3));
-    cluster_counts.merge_report(2, &counts(4));
-    let total = cluster_counts.total().of(cell);
+    let mut evidence = Evidence::default();
+    evidence.note(cell, Judgement::Failed);
+    evidence.merge_report(1, &counts(5));
+    evidence.merge_report(1, &counts(3));
+    evidence.merge_report(2, &counts(4));
+    let total = evidence.total().of(cell);
     assert_eq!((total.answers, total.failed), (10, 1));
-    assert_eq!(cluster_counts.own().of(cell).answers, 1);
+    assert_eq!(evidence.own().of(cell).answers, 1);
 }
 
 #[parameterized(
--- a/crates/core/tests/release_world/mod.rs
+++ b/crates/core/tests/release_world/mod.rs
@@ -8,8 +8,7 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::PoolName;
 use ryerouter_core::release::{
-    ClusterCounts, CountKey, ExposureBudget, Fleet, Judgement, Order, PRESENT, Progress, Settings,
-    Stage,
+    Budget, CountKey, Evidence, Fleet, Judgement, Order, PRESENT, Progress, Settings, Stage,
 };
 
 const TICK: Duration = Duration::from_millis(50);
@@ -127,11 +126,11 @@
 /// Plays a release until it ends, or for ten ramps.
 pub fn play(case: &Case, seed: u64) -> End {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let (mut trial, mut cluster_counts) = (
+    let (mut trial, mut evidence) = (
         Progress::new(order(case.ramp_s), settings(), Timestamp::ZERO),
-        ClusterCounts::default(),
+        Evidence::default(),
     );
-    let mut accounts = vec![ExposureBudget::default(); case.nodes];
+    let mut accounts = vec![Budget::default(); case.nodes];
     let mut pending: VecDeque<Answer> = VecDeque::new();
     let (mut all, mut exposed, mut bad) = (0_u64, 0_u64, 0_u64);
     let mut fiftieth_at = None;
@@ -141,7 +140,7 @@
         now = now.after(TICK);
         while pending.front().is_some_and(|answer| answer.at <= now) {
             let answer = pending.pop_front().expect("answer");
-            cluster_counts.note(answer.cell, answer.judgement);
+            evidence.note(answer.cell, answer.judgement);
             let is_bad = !answer.cell.is_present() && answer.judgement != Judgement::Good;
             bad += u64::from(is_bad);
             if bad == 50 {
@@ -156,23 +155,23 @@
             has_silent_nodes: false,
             longest_request: Duration::from_secs(5),
         };
-        trial.advance(&fleet, &cluster_counts.total(), now);
+        trial.advance(&fleet, &evidence.total(), now);
         let grant = trial.grant(1, 1, 1, now);
         let arrivals = case.per_second * TICK.as_secs_f64();
         let arrivals = arrivals as u32 + u32::from(random.random_bool(arrivals.fract()));
         for _ in 0..arrivals {
             let route = random.random_range(1..=ROUTES);
-            let exposure_budget = &mut accounts[random.random_range(0..case.nodes)];
-            exposure_budget.count();
+            let budget = &mut accounts[random.random_range(0..case.nodes)];
+            budget.count();
             all += u64::from(now.since(Timestamp::ZERO) < deadline);
             let is_bounded = grant.stage == Stage::Trial;
             let is_drawn = random.random_bool(grant.share);
-            let to_target = is_drawn
-                && (!is_bounded || exposure_budget.allows_request(&settings(), case.nodes));
+            let to_target =
+                is_drawn && (!is_bounded || budget.allows_request(&settings(), case.nodes));
             let engine = match to_target {
                 false => PRESENT,
                 true => {
-                    exposure_budget.count_target();
+                    budget.count_target();
                     exposed += 1;
                     let places: Vec<_> = (0..case.engines)
                         .filter(|place| {
--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -75,14 +75,14 @@
             return;
         };
         if is_first {
-            known.exposure_budget.count();
+            known.budget.count();
         }
         let engine = state.engines.get(&placement.engine);
         let target = &known.grant.order.target;
         let is_target = engine.is_some_and(|engine| engine.entry.software == *target);
         let version = match is_target {
             true => {
-                known.exposure_budget.count_target();
+                known.budget.count_target();
                 "target"
             }
             false => "present",
@@ -192,7 +192,7 @@
         let of_target = of_pool.filter(|engine| engine.entry.software == order.target);
         let able = of_target.filter(|engine| engine.takes_work(now)).count();
         let total = known.total(is_large);
-        let sent = known.exposure_budget;
+        let sent = known.budget;
         if known.reconsider() {
             info!(self.log(), "release_goes_on_here"; "pool" => %order.pool,
                 "target" => &order.target, "sent_here" => sent.target(), "of" => sent.all());
--- a/crates/gateway/src/gateway/release_news.rs
+++ b/crates/gateway/src/gateway/release_news.rs
@@ -38,7 +38,7 @@
     /// What this node has seen of answers, for other nodes.
     pub(super) fn evidence_news(&self, state: &GatewayState) -> Vec<EvidenceNews> {
         let open = state.releases.iter().filter(|known| !known.is_final());
-        let own = open.map(|known| evidence_of(known, known.cluster_counts.own(), state.sequence));
+        let own = open.map(|known| evidence_of(known, known.evidence.own(), state.sequence));
         own.filter(|news| !news.1.is_empty()).collect()
     }
 
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -22,13 +22,13 @@
 
 /// How far the caches of the engines that fall to this node have been followed.
 #[derive(Debug, Default)]
-struct PollState {
+struct Polls {
     /// Each counts in one life of its engine.
     cursors: BTreeMap<BackEndName, (Cursor, Option<Incarnation>)>,
     in_flight: BTreeSet<BackEndName>,
 }
 
-impl PollState {
+impl Polls {
     /// Forgets the engines that fall to this node no longer; gives those that are to be asked now.
     fn start_polls(
         &mut self,
@@ -45,7 +45,7 @@
 /// Follows the caches of the engines that fall to this node, one question at a time to each, and
 /// tells the other nodes what was dropped; see docs/design/decisions.md.
 pub async fn watch_caches(gateway: Rc<Gateway>, feed: Rc<dyn CacheFeed>) {
-    let polls = Rc::new(RefCell::new(PollState::default()));
+    let polls = Rc::new(RefCell::new(Polls::default()));
     loop {
         let engines = gateway.caches_to_follow();
         // A node that was just started knows nothing, so it asks as soon as it can.
@@ -64,7 +64,7 @@
 async fn poll_engine(
     gateway: Rc<Gateway>,
     feed: Rc<dyn CacheFeed>,
-    polls: Rc<RefCell<PollState>>,
+    polls: Rc<RefCell<Polls>>,
     engine: BackEndName,
     address: SocketAddr,
 ) {
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! How requests are decided is [`ryerouter_core::quota`]; see docs/design/tenant-limits.md.
 
-mod limit_status;
+mod standing;
 mod table;
 mod usage_update;
 
-pub use limit_status::LimitStatus;
+pub use standing::Standing;
 pub use table::Quotas;
 pub use usage_update::{TenantKey, UsageUpdate, tenant_key};
--- a/crates/gateway/src/quotas/limit_status.rs
+++ b/crates/gateway/src/quotas/standing.rs
@@ -8,7 +8,7 @@
 
 /// How a tenant stands against its limit, as one node sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct LimitStatus<'a> {
+pub struct Standing<'a> {
     /// The tenant.
     pub tenant: &'a TenantName,
     /// Its limit.
@@ -21,7 +21,7 @@
     pub peers: Peers,
 }
 
-impl LimitStatus<'_> {
+impl Standing<'_> {
     /// What it asks for a second at all nodes.
     pub fn asked(&self) -> f64 {
         f64::from(self.own.asked) + self.peers.others.asked
--- a/crates/gateway/src/quotas/table.rs
+++ b/crates/gateway/src/quotas/table.rs
@@ -6,7 +6,7 @@
 use ryerouter_core::identity::TenantName;
 use ryerouter_core::quota::{Account, Ask, Limit, Others, Peers, Tolerance, Usage, Verdict};
 
-use super::{LimitStatus, TenantKey, UsageUpdate, tenant_key};
+use super::{Standing, TenantKey, UsageUpdate, tenant_key};
 
 /// A node tells of a tenant when it is asked for this share of its even part of the limit. What is
 /// then told by nobody sums up to at most this share of the limit; as most of it is traffic far from
@@ -101,18 +101,18 @@
     }
 
     /// How the tenants stand that come near their limits.
-    pub fn near_limits(&self, now: Timestamp) -> impl Iterator<Item = LimitStatus<'_>> {
-        let statuses = self
+    pub fn near_limits(&self, now: Timestamp) -> impl Iterator<Item = Standing<'_>> {
+        let standings = self
             .accounts
             .iter()
-            .map(move |(tenant, (limit, account))| LimitStatus {
+            .map(move |(tenant, (limit, account))| Standing {
                 tenant,
                 limit,
                 balance: account.balance(),
                 own: account.usage(now),
                 peers: self.peers_of(tenant),
             });
-        statuses.filter(LimitStatus::is_near_limit)
+        standings.filter(Standing::is_near_limit)
     }
 
     fn account(
--- a/crates/gateway/src/release/gate.rs
+++ b/crates/gateway/src/release/gate.rs
@@ -111,12 +111,7 @@
         }
         let is_drawn = || draw_of(id) < grant.share && !self.has_tried_target(known, tried);
         match grant.stage {
-            Stage::Trial => {
-                is_drawn()
-                    && known
-                        .exposure_budget
-                        .allows_request(self.settings, self.nodes)
-            }
+            Stage::Trial => is_drawn() && known.budget.allows_request(self.settings, self.nodes),
             Stage::Shifting => is_drawn(),
             Stage::Settling => true,
             Stage::Completed | Stage::RolledBack | Stage::Withdrawn => false,
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -5,8 +5,8 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::release::{
-    ClusterCounts, Comparison, Counts, ExposureBudget, Grant, Progress, Reporter, Rollback,
-    Settings, SoftwareVersion, Stage,
+    Budget, Comparison, Counts, Evidence, Grant, Progress, Reporter, Rollback, Settings,
+    SoftwareVersion, Stage,
 };
 
 use super::Origin;
@@ -25,9 +25,9 @@
     /// When this node came to know its stage.
     pub staged_at: Timestamp,
     /// What this node has sent since it heard of the release.
-    pub exposure_budget: ExposureBudget,
+    pub budget: Budget,
     /// What this node and the others have seen.
-    pub cluster_counts: ClusterCounts,
+    pub evidence: Evidence,
     /// Other versions that get nothing: they were rolled back or withdrawn before, or were still under trial
     /// when this release was ordered.
     pub rejected: BTreeSet<SoftwareVersion>,
@@ -50,8 +50,8 @@
             grant,
             granted_at,
             staged_at: now,
-            exposure_budget: ExposureBudget::default(),
-            cluster_counts: ClusterCounts::default(),
+            budget: Budget::default(),
+            evidence: Evidence::default(),
             rejected: BTreeSet::new(),
             replaced: BTreeSet::new(),
             origins: BTreeMap::new(),
@@ -92,7 +92,7 @@
     /// Takes what a reporter has seen.
     pub fn absorb(&mut self, reporter: Reporter, origin: Origin, counts: &Counts) {
         self.origins.insert(reporter, origin);
-        self.cluster_counts.merge_report(reporter, counts);
+        self.evidence.merge_report(reporter, counts);
     }
 
     /// What all nodes have seen. With many nodes those of other zones count in the sums of their zones,
@@ -113,7 +113,7 @@
     fn total_of(&self, counted: &[Origin]) -> Counts {
         let origin = |reporter| self.origins.get(&reporter);
         let is_counted = |reporter| origin(reporter).is_some_and(|origin| counted.contains(origin));
-        self.cluster_counts.total_of(is_counted)
+        self.evidence.total_of(is_counted)
     }
 
     /// Takes all answers so far; tells why this node stops sending to the target version, the moment
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -97,7 +97,7 @@
             route: watch.route,
             engine,
         };
-        known.cluster_counts.note(cell, judgement);
+        known.evidence.note(cell, judgement);
     }
 
     /// Whether answers of a version tell how long the present version takes.
--- a/crates/gateway/tests/releases_evidence.rs
+++ b/crates/gateway/tests/releases_evidence.rs
@@ -93,8 +93,8 @@
         assert_eq!(counts.target(), expected);
         assert_eq!(counts.present(), ONE_GOOD);
         let sent = bench.bench.gateway.state();
-        let exposure_budget = sent.releases.of(&pool()).unwrap().exposure_budget;
-        assert_eq!((exposure_budget.all(), exposure_budget.target()), (1, 1));
+        let budget = sent.releases.of(&pool()).unwrap().budget;
+        assert_eq!((budget.all(), budget.target()), (1, 1));
         let requests = &bench.bench.gateway.metrics().release_requests;
         let sent_to = |version| requests.with_label_values(&["pool", version]).get();
         assert_eq!((sent_to("target"), sent_to("present")), (1, 1));
--- a/crates/gateway/tests/releases_regions.rs
+++ b/crates/gateway/tests/releases_regions.rs
@@ -77,18 +77,14 @@
         deliver(&nodes, nodes[0].next_load_news());
         for node in &nodes {
             let mut state = node.state_mut();
-            let cluster_counts = &mut state
-                .releases
-                .of_mut(&pool())
-                .expect("release")
-                .cluster_counts;
+            let evidence = &mut state.releases.of_mut(&pool()).expect("release").evidence;
             let target = CountKey {
                 route: 1,
                 engine: 1,
             };
             for _ in 0..ANSWERS {
-                cluster_counts.note(target, Judgement::Failed);
-                cluster_counts.note(CountKey::present(1), Judgement::Good);
+                evidence.note(target, Judgement::Failed);
+                evidence.note(CountKey::present(1), Judgement::Good);
             }
         }
         let mut random = StdRng::seed_from_u64(1);
--- a/crates/gateway/tests/support/release_node.rs
+++ b/crates/gateway/tests/support/release_node.rs
@@ -106,14 +106,14 @@
     pub fn fail_target(&self, pool: &str) {
         let mut state = self.gateway.state_mut();
         let known = state.releases.of_mut(&PoolName::new(pool));
-        let cluster_counts = &mut known.expect("release").cluster_counts;
+        let evidence = &mut known.expect("release").evidence;
         for number in 1..=u32::from(ENGINES) {
             let cell = CountKey {
                 route: 1,
                 engine: number,
             };
-            cluster_counts.note(cell, Judgement::Failed);
-            cluster_counts.note(CountKey::present(1), Judgement::Good);
+            evidence.note(cell, Judgement::Failed);
+            evidence.note(CountKey::present(1), Judgement::Good);
         }
     }
 
@@ -121,14 +121,14 @@
     pub fn serve_target(&self, pool: &str, times: u32) {
         let mut state = self.gateway.state_mut();
         let known = state.releases.of_mut(&PoolName::new(pool));
-        let cluster_counts = &mut known.expect("release").cluster_counts;
+        let evidence = &mut known.expect("release").evidence;
         for number in 1..=u32::from(ENGINES) * times {
             let cell = CountKey {
                 route: 1,
                 engine: 1 + number % u32::from(ENGINES),
             };
-            cluster_counts.note(cell, Judgement::Good);
-            cluster_counts.note(CountKey::present(1), Judgement::Good);
+            evidence.note(cell, Judgement::Good);
+            evidence.note(CountKey::present(1), Judgement::Good);
         }
     }
 }
