--- a/crates/gateway/src/placement/cache_feed.rs
+++ b/crates/gateway/src/placement/cache_feed.rs
@@ -1,4 +1,4 @@
-//! What engines tell of their caches.
+//! Cache changes that engines report.
 
 use std::net::SocketAddr;
 
@@ -7,33 +7,33 @@
 
 use super::PartKey;
 
-/// Where the next question to an engine goes on.
+/// Position in an engine's change log from which the next poll continues.
 pub type Cursor = u64;
 
-/// A part of a prompt that an engine has come to hold, or has dropped.
+/// A prompt part that an engine has added to its cache or evicted from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheChange {
     /// The part.
     pub key: PartKey,
-    /// Its tokens that are held now.
+    /// Number of its tokens that are cached now.
     pub tokens: u32,
-    /// Whether all of it is held.
+    /// Whether the whole part is cached.
     pub is_held: bool,
 }
 
-/// Changes of an engine's cache since an earlier question, in the order in which they came.
+/// Changes of an engine's cache since an earlier poll, in the order in which they happened.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CacheChanges {
-    /// Where the next question goes on.
+    /// Position from which the next poll continues.
     pub next: Cursor,
-    /// The changes; some never arrive.
+    /// The changes. The list may be incomplete: some changes are never reported.
     pub changes: Vec<CacheChange>,
 }
 
-/// The port to what engines tell of their caches.
+/// Client that polls engines for changes of their caches.
 pub trait CacheFeed {
-    /// Changes since `since`, or all that the engine remembers. Waits a while for the first one;
-    /// `None` when the engine does not answer.
+    /// Fetches the changes since `since`, or all changes that the engine still keeps if `since` is
+    /// `None`. Waits a while for the first change; returns `None` if the engine does not answer.
     fn changes(
         &self,
         engine: BackEndName,
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -1,4 +1,4 @@
-//! Following what engines tell of their caches.
+//! Polls engines for changes of their caches.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,22 +14,25 @@
 use super::cache_feed::Cursor;
 use crate::gateway::Gateway;
 
-/// Time between questions to one engine: each costs it some work, and events are late anyway.
+/// Interval between polls of one engine. A shorter interval would cost the engines work without
+/// much gain, because cache events arrive late anyway.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time until a node looks again whether engines fall to it.
+/// Interval at which a node without assigned engines checks whether it has been assigned any.
 const ASSIGNMENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the caches of the engines that fall to this node have been followed.
+/// State of the polls of the engines that are assigned to this node.
 #[derive(Debug, Default)]
 struct Polls {
-    /// Each counts in one life of its engine.
+    /// Position of the next poll, and the incarnation of the engine in which that position is
+    /// valid.
     cursors: BTreeMap<BackEndName, (Cursor, Option<Incarnation>)>,
     in_flight: BTreeSet<BackEndName>,
 }
 
 impl Polls {
-    /// Forgets the engines that fall to this node no longer; gives those that are to be asked now.
+    /// Drops the cursors of engines that are no longer assigned to this node; returns the engines
+    /// to poll now, which are those without a poll in flight.
     fn start_polls(
         &mut self,
         engines: Vec<(BackEndName, SocketAddr)>,
@@ -42,13 +45,14 @@
     }
 }
 
-/// Follows the caches of the engines that fall to this node, one question at a time to each, and
-/// tells the other nodes what was dropped; see docs/design/decisions.md.
+/// Polls the caches of the engines that are assigned to this node, with one poll at a time for each
+/// engine, and announces evicted parts to the other nodes; see docs/design/decisions.md.
 pub async fn watch_caches(gateway: Rc<Gateway>, feed: Rc<dyn CacheFeed>) {
     let polls = Rc::new(RefCell::new(Polls::default()));
     loop {
         let engines = gateway.caches_to_follow();
-        // A node that was just started knows nothing, so it asks as soon as it can.
+        // A node that has just started knows of no cached prefixes, so it polls as soon as engines
+        // are assigned to it.
         let pause = match engines.is_empty() {
             true => ASSIGNMENT_CHECK_INTERVAL,
             false => POLL_INTERVAL,
@@ -79,7 +83,8 @@
         return;
     };
     if gateway.life_of(&engine) != incarnation {
-        // It has begun again meanwhile: this may be about either life.
+        // The engine has restarted during the poll, so the response may describe either
+        // incarnation.
         polls.cursors.remove(&engine);
         return;
     }
--- a/crates/gateway/src/placement/candidate_cost.rs
+++ b/crates/gateway/src/placement/candidate_cost.rs
@@ -1,31 +1,34 @@
-//! Cost of a candidate, term by term.
+//! Cost of placing a request on a candidate engine, by component.
 
 use derive_more::Display;
 
-/// Cost of a candidate, term by term, in the unit of [`super::PlacementPrices`].
+/// Cost of placing a request on a candidate engine, by component, in the unit of
+/// [`super::PlacementPrices`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Display)]
 #[display(
     "late={late:.3},pauses={pauses:.3},stale={stale:.3},reread={reread:.3},moved={moved:.3},zone={zone:.3},load={load:.3}"
 )]
 pub struct CandidateCost {
-    /// Risk of a late first token.
+    /// Expected cost of a late first token.
     pub late: f64,
-    /// Risk that streams which run there pause for too long while the prompt is read.
+    /// Expected cost of pauses in streams that already run on the engine, caused by prefilling the
+    /// prompt.
     pub pauses: f64,
-    /// Beginning on weights that were replaced a while ago.
+    /// Cost of starting on weights that were replaced some time ago.
     pub stale: f64,
-    /// Tokens read although some engine holds them.
+    /// Cost of prefilling tokens that another engine already caches, or may be prefilling at the
+    /// same time.
     pub reread: f64,
-    /// KV cache moved.
+    /// Cost of transferring KV cache.
     pub moved: f64,
-    /// Bytes sent to another zone.
+    /// Cost of sending the request body to another zone.
     pub zone: f64,
-    /// Work and memory in use there.
+    /// Cost of the slots and KV memory in use on the engine, and of its poor health if any.
     pub load: f64,
 }
 
 impl CandidateCost {
-    /// The sum.
+    /// Sum of all components.
     pub fn total(&self) -> f64 {
         self.late + self.pauses + self.stale + self.reread + self.moved + self.zone + self.load
     }
--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -1,4 +1,4 @@
-//! Chooses an engine for a request.
+//! Chooses the engine for a request.
 
 mod costs;
 mod sample;
@@ -26,45 +26,48 @@
     PrefillSplit, Prompt, PromptForWeights, PromptKeys, is_prefill_heavy,
 };
 
-/// An engine that costs more than this is only taken when no other of all is better.
+/// The best engine of a sample is accepted only below this cost. Otherwise all engines are
+/// compared.
 const MAX_SAMPLED_COST: f64 = 2.0;
 
-/// Chooses the engine with the least cost; ties go to the first in rendezvous order.
+/// Chooses the engine with the lowest cost. Ties go to the engine that comes first in rendezvous
+/// order.
 #[derive(Debug)]
 pub struct Chooser<'a> {
     /// All engines.
     pub engines: &'a EngineTable,
-    /// Who holds what.
+    /// Which engines hold which prefixes.
     pub holders: &'a HolderTable,
-    /// The configuration.
+    /// The routing configuration.
     pub table: &'a RoutingTable,
-    /// What is believed of the stores of kept KV cache.
+    /// Reachability of the KV stores, as far as known.
     pub kv_stores: &'a KvStores,
-    /// Until when older weights may be used.
+    /// Until when requests may still start on replaced weights.
     pub deadlines: &'a WeightsDeadlines,
-    /// Longest time that requests of the pool took to begin lately.
+    /// Longest delay with which requests of the pool started recently.
     pub max_recent_start_delay: Duration,
-    /// Prices.
+    /// Weights of the cost components.
     pub prices: &'a PlacementPrices,
-    /// Which engines of the pool are kept for requests that mostly read; `None` where all take all.
+    /// Which engines of the pool are reserved for prefill-heavy requests; `None` if all engines
+    /// take all requests.
     pub prefill_split: Option<&'a PrefillSplit>,
-    /// Whether there are so many nodes that what is known of engines is shared by many choices at
-    /// once.
+    /// Whether the deployment has so many nodes that many of them choose engines from the same load
+    /// reports at once.
     pub is_large: bool,
     /// The zone of this process.
     pub zone: &'a ZoneName,
-    /// Which zone lies in which region.
+    /// The region of each zone.
     pub topology: &'a Topology,
-    /// Now.
+    /// Current time.
     pub now: Timestamp,
 }
 
-/// What becomes of engines that fail requests.
+/// How unhealthy engines, which have failed requests recently, are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnhealthyEngines {
-    /// When no other engine takes the request, any of them does.
+    /// They are used if no healthy engine can take the request.
     LastResort,
-    /// They get nothing: there are other engines for the request.
+    /// They are never used, because the request has other engines to go to.
     Excluded,
 }
 
@@ -80,12 +83,13 @@
 }
 
 impl Chooser<'_> {
-    /// The engine with the least cost, or `None` when no engine may take the request.
+    /// Returns the engine with the lowest cost, or `None` if no engine can take the request.
     pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<Placement> {
         self.choose_among(request, &EngineFilter::Any, UnhealthyEngines::LastResort)
     }
 
-    /// The same among the engines that take the request, as far as releases are concerned.
+    /// Like [`Self::choose`], but only among the engines that `filter` admits, which depends on the
+    /// releases in progress.
     pub fn choose_among(
         &self,
         request: &PlacementRequest<'_>,
@@ -116,7 +120,7 @@
             .flatten()
             .filter(|best| best.cost.total() < MAX_SAMPLED_COST)
             .or_else(|| self.best(request, profile, &versions, is_healthy))
-            // When all engines fail requests, any of them is better than none.
+            // If all engines are unhealthy, any of them is better than none.
             .or_else(|| self.best(request, profile, &versions, is_any))?;
         Some(Placement {
             engine: best.engine.entry.name.clone(),
@@ -142,7 +146,8 @@
         versions: &'b [PromptForWeights],
         is_allowed: impl Fn(&Engine) -> bool,
     ) -> Option<Candidate<'b>> {
-        // What barred engines don't take would push the others beyond their room, and fail there for all.
+        // Load that excluded engines reject moves to the others. Without this limit it would exceed
+        // their capacity and make requests fail there too.
         let skip_full = self.has_excluded_engines(request.pool);
         self.engines
             .of_pool(request.pool)
@@ -157,7 +162,8 @@
             })
     }
 
-    /// Whether some engines of a pool want less than they are asked for, so that the others are asked for more.
+    /// Whether some engines of the pool limit or refuse requests at the moment, so that the other
+    /// engines receive more. Engines that are shutting down don't count.
     fn has_excluded_engines(&self, pool: &PoolName) -> bool {
         let mut engines = self.engines.of_pool(pool);
         engines.any(|engine| {
@@ -166,20 +172,22 @@
         })
     }
 
-    /// Engines that are known to hold some of a prompt, under whichever weights they had: few, so that not each engine
-    /// of a large pool has to be sought among the holders.
+    /// Engines that are known to cache part of the prompt, under any version of the weights. They
+    /// are few, so computing this set once is cheaper than searching the holders for each engine of
+    /// a large pool.
     fn all_holders(&self, versions: &[PromptForWeights]) -> HashSet<&BackEndName> {
         let keys = versions.iter().flat_map(|version| &version.keys.0);
         let holders = keys.flat_map(|(key, _)| self.holders.of(*key));
         holders.map(|(name, _)| name).collect()
     }
 
-    /// Whether an engine is known to hold some of a prompt.
+    /// Whether an engine is known to cache a prefix of the prompt.
     fn holds_prefix(&self, engine: &Engine, version: &PromptForWeights) -> bool {
         version.has_weights_of(engine) && self.held_tokens(engine, &version.keys) > 0
     }
 
-    /// The newest weights of a prompt's model, while engines have older ones that count as stale.
+    /// The newest weights of the prompt's model, if some engines still have older ones that count
+    /// as stale.
     fn newest_weights_during_rollout(
         &self,
         versions: &[PromptForWeights],
@@ -190,7 +198,8 @@
         stale.next().and(weights().max())
     }
 
-    /// Whether an engine is kept for requests of this kind, or for all.
+    /// Whether an engine is on the request's side of the prefill split; `true` for all engines if
+    /// there is no split.
     fn is_reserved_for(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
         match (self.prefill_split, request.prompt) {
             (Some(prefill_split), Some(prompt)) => {
@@ -200,7 +209,7 @@
         }
     }
 
-    /// How far an engine is from this process.
+    /// Distance between this process and an engine.
     fn distance(&self, engine: &Engine) -> Distance {
         self.topology.distance(self.zone, &engine.entry.zone)
     }
@@ -294,7 +303,8 @@
         })
     }
 
-    /// What a prompt is under each version of the weights that candidates have.
+    /// Computes the prompt's keys and home engines for each version of the weights that engines of
+    /// the pool have.
     fn versions(
         &self,
         request: &PlacementRequest<'_>,
@@ -325,7 +335,7 @@
     }
 }
 
-/// Whether an engine has as much work as it has room for.
+/// Whether an engine has no free slot or no free KV memory.
 fn is_full(engine: &Engine, profile: Option<&EngineProfile>) -> bool {
     let load = engine.load();
     profile.is_some_and(|profile| {
--- a/crates/gateway/src/placement/chooser/costs.rs
+++ b/crates/gateway/src/placement/chooser/costs.rs
@@ -1,4 +1,4 @@
-//! The terms of a candidate's cost.
+//! Components of a candidate's cost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,24 +15,27 @@
 
 const BYTES_PER_GIGABYTE: f64 = 1e9;
 const BYTES_PER_KILOBYTE: f64 = 1e3;
-/// Bits in a megabit, and milliseconds in a second.
+/// Converts megabits per second to bits per millisecond.
 const BITS_PER_MS_PER_MEGABIT_PER_S: f64 = 1e3;
-/// A move of KV cache takes so many times as long between two zones of a region as within one, and
-/// between regions (the engines' operators).
+/// Factors by which a KV cache transfer takes longer between two zones of a region, and between
+/// regions, than within a zone. The figures come from the operators of the engines.
 const MOVE_FACTOR_IN_REGION: f64 = 2.0;
 const MOVE_FACTOR_REMOTE: f64 = 10.0;
-/// Cost of an engine that is tried only to find out whether it serves again.
+/// Cost of an unhealthy engine that is tried to find out whether it serves requests again.
 const PROBE_COST: f64 = 0.5;
-/// Cost of an engine that is not in the list any more but may still serve.
+/// Cost of an engine that is no longer in the engine list but may still serve requests.
 const UNLISTED_COST: f64 = 5.0;
-/// Share of streams that pause for too long when reading takes as long as they may pause. It rises
-/// with about the third power (measured: docs/design/shifted.md).
+/// Share of streams that pause for too long when prefill takes exactly the longest permitted pause.
+/// The share rises roughly with the third power of the prefill time; for the measurements see
+/// docs/design/shifted.md.
 const PAUSE_RISK: f64 = 0.18;
-/// Cost of an engine that lately had no room.
+/// Cost of an engine that recently refused a request for lack of capacity.
 const FULL_COST: f64 = 4.0;
 
 impl Chooser<'_> {
-    /// Cost of reading shared parts that nobody is known to hold elsewhere than all nodes would.
+    /// Cost of the risk that two engines prefill the same shared parts. It arises when parts that
+    /// no engine is known to hold are prefilled on an engine other than the home engine, to which
+    /// the other nodes send them.
     pub(super) fn duplicate_prefill_cost(
         &self,
         engine: &Engine,
@@ -43,7 +46,8 @@
         if version.is_home_engine(engine) {
             return 0.0;
         }
-        // Nobody tells of small parts, so whoever shares them has sent them to the first reader.
+        // Holders of small prefixes are not announced, so all other requests with the prefix have
+        // gone to the home engine.
         let risk = match version.is_small() {
             true => 1.0,
             false if missing < MIN_SAVED_TOKENS => 0.0,
@@ -52,7 +56,8 @@
         f64::from(missing) * self.prices.reprefill_token * risk
     }
 
-    /// Longest time until a request begins there (estimate, on the safe side).
+    /// Estimated upper bound on the time until the request starts on the engine; errs towards too
+    /// long.
     pub(super) fn max_start_delay(&self, engine: &Engine, unread_tokens: u32) -> Duration {
         let queued = f64::from(engine.load().unread_tokens) + f64::from(unread_tokens);
         let estimate =
@@ -74,19 +79,19 @@
         self.late_cost(prefill_ms + fetch_ms + self.delay_ms(engine), request)
     }
 
-    /// Cost of the way to an engine that is otherwise idle.
+    /// Cost of the network delay to an engine that is otherwise idle.
     pub(super) fn delay_cost(&self, engine: &Engine, request: &PlacementRequest<'_>) -> f64 {
         self.late_cost(self.delay_ms(engine), request)
     }
 
-    /// Cost of a first token after so long.
+    /// Cost of a first token after this time; grows with the square of the time.
     fn late_cost(&self, first_token_ms: f64, request: &PlacementRequest<'_>) -> f64 {
         let target_ms = request.target_latency.as_secs_f64().max(0.001) * 1e3;
         let share = first_token_ms / target_ms;
         share * share * self.prices.first_token_at_target
     }
 
-    /// Time that a request and its answer are on the way to an engine of another region.
+    /// Round-trip delay to an engine in another region; zero within the region.
     fn delay_ms(&self, engine: &Engine) -> f64 {
         match self.distance(engine) {
             Distance::Remote => self.prices.remote_delay.as_secs_f64() * 1e3,
@@ -105,8 +110,8 @@
         times * bits / bits_per_ms
     }
 
-    /// How far the holder of what is fetched is from the engine; one that is not known is taken to be
-    /// in another zone.
+    /// Distance between the engine and the holder of the KV cache to fetch. A holder in an unknown
+    /// zone is assumed to be in another zone of the same region.
     fn fetch_distance(&self, engine: &Engine, fetch: &KvFetch) -> Distance {
         let zone = match &fetch.holder {
             KvHolder::Engine(name) => self.engines.get(name).map(|holder| &holder.entry.zone),
@@ -117,9 +122,9 @@
         })
     }
 
-    /// Cost of the pauses that reading a prompt brings to the streams that run there: an engine
-    /// reads between two tokens of its streams, so they wait while much is read without a break.
-    /// See docs/design/shifted.md.
+    /// Cost of the pauses that prefilling the prompt causes in the streams that run on the engine.
+    /// An engine prefills between two decode steps, so its streams wait while it prefills many
+    /// tokens without a break. See docs/design/shifted.md.
     pub(super) fn pause_cost(
         &self,
         engine: &Engine,
@@ -140,15 +145,15 @@
             + f64::from(load.requests) * (after - before) * self.prices.first_token_at_target
     }
 
-    /// Share of streams that pause for longer than they should while so many tokens are read.
+    /// Share of streams that pause for longer than permitted while the engine prefills `tokens`.
     fn pause_risk(&self, tokens: u32, longest: Duration) -> f64 {
         let prefill_ms = f64::from(tokens) / self.prices.prefill_tokens_per_ms;
         let longest_ms = longest.as_secs_f64().max(0.001) * 1e3;
         (PAUSE_RISK * (prefill_ms / longest_ms).powi(3)).min(1.0)
     }
 
-    /// Cost of beginning on weights that newer ones have replaced, so that requests gather at the
-    /// engines that have loaded and the others lose nothing while they wait for their turn.
+    /// Cost of starting on replaced weights. It directs requests to engines that have loaded the
+    /// new weights already, so that engines still waiting to load have little work to lose.
     pub(super) fn stale_cost(&self, model: &str, weights: u64) -> f64 {
         let replaced_at = self.deadlines.replaced_at(model, weights);
         let is_stale = replaced_at.is_some_and(|at| self.now.since(at) >= self.prices.stale_after);
@@ -187,7 +192,7 @@
         Some(&store.zone)
     }
 
-    /// Slots and KV memory in use; memory counts more the nearer it is to its end.
+    /// Cost of the slots and KV memory in use; memory counts only above `kv_high_share`.
     pub(super) fn occupancy_cost(
         &self,
         engine: &Engine,
--- a/crates/gateway/src/placement/chooser/sample.rs
+++ b/crates/gateway/src/placement/chooser/sample.rs
@@ -12,26 +12,27 @@
 use crate::placement::prompt_for_weights::PromptForWeights;
 use crate::release::EngineFilter;
 
-/// Engines of the own zone that are compared.
+/// Maximum number of engines of this node's zone that are compared.
 const MAX_NEAR_ENGINES: usize = 4;
-/// Engines of other zones that are compared.
+/// Maximum number of engines of other zones that are compared.
 const MAX_FAR_ENGINES: usize = 2;
 
 /// The engines that are compared for one request.
 ///
-/// What a node knows of an engine is some hundred milliseconds old and the same on all nodes. If
-/// each compared all engines, all would send to the one that looked idle last, and fill its queue
-/// before they heard of it. So each request compares a few engines that its name draws, as in the
-/// choice of the better of two at random; see docs/design/placement-of-many-nodes.md.
+/// Load reports of engines are some hundred milliseconds old and the same on all nodes. If every
+/// node compared all engines, all nodes would send to the engine that was last reported idle and
+/// fill its queue before its next report. Instead, each request compares a few engines chosen
+/// pseudo-randomly by its id, as in the power of two choices; see
+/// docs/design/placement-of-many-nodes.md.
 pub(super) struct Sample {
-    /// `None` when all engines are compared.
+    /// `None` if all engines are compared.
     engines: Option<BTreeSet<BackEndName>>,
 }
 
 impl Sample {
-    /// Draws the engines for a request: those kept for its kind, and while weights are being
-    /// replaced also the others that have the newest, since to begin on replaced ones costs more
-    /// than to be misplaced.
+    /// Draws the engines for a request from those on its side of the prefill split. While weights
+    /// are being replaced, engines on the other side that have the newest weights are drawn too,
+    /// because starting on replaced weights costs more than using the wrong side.
     pub(super) fn draw(
         chooser: &Chooser<'_>,
         request: &PlacementRequest<'_>,
@@ -58,7 +59,7 @@
             eligible.partition(|engine| engine.entry.zone == *chooser.zone);
         let order = |engine: &&Engine| rendezvous_score(key, engine.name_hash);
         keep_first(&mut near, MAX_NEAR_ENGINES, order);
-        // Those of other regions come last: they are far for every request.
+        // Engines in other regions come last, because they are far away for every request.
         keep_first(&mut far, MAX_FAR_ENGINES, |engine| {
             (chooser.distance(engine), order(engine))
         });
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether not all engines are compared.
+    /// Whether only some of the engines are compared.
     pub(super) fn is_limited(&self) -> bool {
         self.engines.is_some()
     }
@@ -81,7 +82,8 @@
     }
 }
 
-/// Keeps the first `most` by `order`, without putting the others in order: a pool may have ten thousand.
+/// Keeps the first `most` engines by `order`. The engines are not fully sorted, because a pool may
+/// have ten thousand of them.
 fn keep_first<K: Ord>(engines: &mut Vec<&Engine>, most: usize, order: impl Fn(&&Engine) -> K) {
     if engines.len() > most {
         engines.select_nth_unstable_by_key(most, |engine| order(engine));
--- a/crates/gateway/src/placement/chooser/sources.rs
+++ b/crates/gateway/src/placement/chooser/sources.rs
@@ -1,4 +1,4 @@
-//! Who holds the parts of a prompt, and where to fetch them from.
+//! Which engines and KV stores hold parts of a prompt, and from where to fetch them.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 use crate::placement::{KvFetch, KvHolder, MIN_SAVED_TOKENS, PartKey, PromptKeys};
 use crate::topology::Distance;
 
-/// Fewest tokens that are worth fetching.
+/// Minimum number of tokens that are worth a fetch.
 const MIN_FETCHED_TOKENS: u32 = 64;
-/// An engine that used a part within this time has it still.
+/// An engine that used a part within this time is assumed to still have it in its cache.
 const RECENT_USE: Duration = Duration::from_secs(2);
-/// A part that was saved is expected in the store for so long.
+/// A saved part is expected in the KV store for this time.
 const STORE_RETENTION: Duration = Duration::from_secs(20);
 
 impl Chooser<'_> {
-    /// Tokens of the longest prefix that an engine is known to hold.
+    /// Number of tokens in the longest prefix that the engine is known to hold.
     pub(super) fn held_tokens(&self, engine: &Engine, keys: &PromptKeys) -> u32 {
         let holds = |key| {
             let mut holders = self.holders.of(key);
@@ -32,8 +32,9 @@
         longest.map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Where to fetch what the engine lacks of the prompt: the longest prefix first, from an engine
-    /// that used it lately, else from the store, else from any engine that once had it.
+    /// Chooses a source for the part of the prompt that the engine lacks. Longer prefixes are
+    /// preferred; for each prefix, an engine that used it recently comes first, then the KV store,
+    /// then any engine that ever held it.
     pub(super) fn best_fetch(
         &self,
         engine: &Engine,
@@ -59,12 +60,13 @@
                 return Some(fetch_from(holder, tokens));
             }
         }
-        // Nobody is known to hold any of it, but earlier processes may have saved it.
+        // No known holder has any of it, but processes that ran earlier may have saved it to the
+        // store.
         self.fetch_if_missing(engine, keys)
     }
 
-    /// An engine that should have all shared parts may have dropped some: then it asks the store,
-    /// else nothing moves.
+    /// A fetch of zero expected tokens from the store, in case the engine has evicted shared parts
+    /// that it is believed to hold. If it has them all, nothing is transferred.
     pub(super) fn fetch_if_missing(&self, engine: &Engine, keys: &PromptKeys) -> Option<KvFetch> {
         let shared = keys.shared().last().map_or(0, |(_, tokens)| *tokens);
         let is_worth = shared >= MIN_SAVED_TOKENS;
@@ -83,7 +85,7 @@
         holders
             .filter_map(|(name, used_at)| Some((self.engines.get(name)?, used_at)))
             .filter(|(holder, _)| self.can_export_to(holder, engine))
-            // An engine that has loaded other weights since has dropped what it held.
+            // An engine that has loaded other weights since has dropped its cache.
             .filter(|(holder, _)| version.has_weights_of(holder))
             .max_by_key(|(holder, used_at)| {
                 let is_recent = self.now.since(*used_at) < RECENT_USE;
@@ -94,10 +96,10 @@
             })
     }
 
-    /// The store that keeps the shared parts of a prompt for an engine: all nodes take the same one of
-    /// those that answer, so that nobody has to be told where a part is kept, and none is kept twice.
-    /// A store of another region takes ten times as long, so only one of the engine's own is asked
-    /// while any answers there.
+    /// The KV store for the shared parts of a prompt on this engine. All nodes choose the same
+    /// store among the reachable ones, so that the location of a part need not be announced and no
+    /// part is stored twice. A transfer from another region takes ten times as long, so stores in
+    /// the engine's own region are preferred while any of them is reachable.
     fn store_of(&self, engine: &Engine, keys: &PromptKeys) -> Option<&KvStoreProfile> {
         let (key, _) = keys.shared().last()?;
         let stores = self.table.kv_stores().iter();
@@ -124,7 +126,8 @@
         })
     }
 
-    /// Shared parts that are worth it are saved once, by whoever reads them.
+    /// The store to which the engine should save the shared parts after prefill; `None` if they are
+    /// too short or already stored.
     pub(super) fn save_to(&self, engine: &Engine, keys: &PromptKeys) -> Option<SocketAddr> {
         let (key, tokens) = keys.shared().last()?;
         let is_worth = *tokens >= MIN_SAVED_TOKENS && !self.is_stored(*key, engine, keys);
--- a/crates/gateway/src/placement/chosen_engine.rs
+++ b/crates/gateway/src/placement/chosen_engine.rs
@@ -1,4 +1,4 @@
-//! A chosen engine.
+//! The result of placement.
 
 use std::net::SocketAddr;
 
@@ -7,51 +7,52 @@
 
 use super::{CandidateCost, PromptKeys};
 
-/// Who holds KV cache that can be fetched.
+/// Source from which KV cache can be fetched.
 #[derive(Debug, Clone, PartialEq, Display)]
 pub enum KvHolder {
     /// An engine.
     #[display("{_0}")]
     Engine(BackEndName),
-    /// The store of kept KV cache, which has it, or may have it.
+    /// The KV store, which has the prefix or may have it.
     #[display("store")]
     Store,
 }
 
-/// A prefix to fetch from another engine before the prompt is read.
+/// A prefix that the engine fetches from another engine or the KV store before it prefills the rest
+/// of the prompt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KvFetch {
-    /// Who holds it.
+    /// Source of the prefix.
     pub holder: KvHolder,
-    /// Where that listens.
+    /// Address of the source.
     pub address: SocketAddr,
-    /// Tokens that it holds beyond those of the chosen engine.
+    /// Number of tokens that the source holds beyond those of the chosen engine.
     pub tokens: u32,
 }
 
-/// A chosen engine.
+/// The engine chosen for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The engine.
+    /// Name of the engine.
     pub engine: BackEndName,
-    /// Which of its lives it was chosen in.
+    /// Incarnation of the engine at the time of the choice.
     pub incarnation: Option<Incarnation>,
-    /// Where it listens.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Version of the weights that it is expected to have; `None` for plain services.
+    /// Version of the weights that the engine is expected to have; `None` for plain services.
     pub weights: Option<u64>,
-    /// Separates cached prefixes.
+    /// Salt of the prompt's keys, which separates cached prefixes that must not be shared.
     pub salt: Option<String>,
-    /// Keys of the prompt's prefixes under that salt.
+    /// Keys of the prompt's parts under that salt.
     pub keys: PromptKeys,
-    /// Tokens expected in its cache.
+    /// Number of prompt tokens expected in the engine's cache.
     pub cached_tokens: u32,
-    /// Tokens that it has to read (estimate).
+    /// Estimated number of prompt tokens that the engine must prefill.
     pub unread_tokens: u32,
-    /// Fetched before.
+    /// Prefix to fetch before prefill.
     pub fetch: Option<KvFetch>,
-    /// The store of kept KV cache that its shared parts should be saved to.
+    /// KV store to which the engine should save the shared parts.
     pub save_to: Option<SocketAddr>,
-    /// Why it was chosen.
+    /// Cost of the choice, by component.
     pub cost: CandidateCost,
 }
--- a/crates/gateway/src/placement/holder_table.rs
+++ b/crates/gateway/src/placement/holder_table.rs
@@ -8,10 +8,10 @@
 
 use super::PartKey;
 
-/// Most holders that are remembered of one prefix, the latest ones.
+/// Maximum number of holders recorded for one prefix; the most recent ones are kept.
 const MAX_HOLDERS: usize = 6;
 
-/// Name under which a store of kept KV cache stands in the table.
+/// Name under which a KV store is entered as a holder.
 pub fn store_holder_name(address: SocketAddr) -> BackEndName {
     BackEndName::new(format!("kv-store/{address}"))
 }
@@ -20,11 +20,12 @@
 struct Holder {
     engine: BackEndName,
     used_at: Timestamp,
-    /// Whether other nodes know of it too.
+    /// Whether other nodes have been told of this holder.
     is_announced: bool,
 }
 
-/// Which engines read or fetched which prefixes lately; bounded, the longest unused go first.
+/// Engines that recently prefilled or fetched each prefix. The table is bounded; the least recently
+/// used prefixes are evicted first.
 #[derive(Debug)]
 pub struct HolderTable {
     capacity: usize,
@@ -32,7 +33,7 @@
 }
 
 impl HolderTable {
-    /// A table of at most `capacity` prefixes.
+    /// Creates a table for at most `capacity` prefixes.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -40,12 +41,12 @@
         }
     }
 
-    /// `engine` used the prefix at `at`, which other nodes know too.
+    /// Records that `engine` used the prefix at `at` and that other nodes know this too.
     pub fn note(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
         self.insert(key, engine, at, true);
     }
 
-    /// `engine` used the prefix at `at`, which no other node is told.
+    /// Records that `engine` used the prefix at `at`. This is not announced to other nodes.
     pub fn note_local(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
         self.insert(key, engine, at, false);
     }
@@ -71,12 +72,12 @@
         });
     }
 
-    /// Whether anything is known of the prefix.
+    /// Whether the table has an entry for the prefix.
     pub fn contains(&self, key: PartKey) -> bool {
         self.holders.contains_key(&key)
     }
 
-    /// Engines that used the prefix, with the time of the last use.
+    /// Engines that used the prefix, each with the time of its last use.
     pub fn of(&self, key: PartKey) -> impl Iterator<Item = (&BackEndName, Timestamp)> {
         let holders = self.holders.get(&key);
         holders
@@ -85,7 +86,7 @@
             .map(|holder| (&holder.engine, holder.used_at))
     }
 
-    /// When a store of kept KV cache was last known to hold the part.
+    /// Time at which the KV store was last known to hold the part.
     pub fn stored_at(&self, key: PartKey, store: SocketAddr) -> Option<Timestamp> {
         let store = store_holder_name(store);
         let mut holders = self.of(key);
@@ -93,7 +94,7 @@
         in_store.map(|(_, used_at)| used_at)
     }
 
-    /// An engine holds nothing any more.
+    /// Removes an engine from all entries, because it holds nothing any more.
     pub fn forget_engine(&mut self, engine: &BackEndName) {
         self.holders.retain(|_, holders| {
             holders.retain(|holder| holder.engine != *engine);
@@ -101,7 +102,8 @@
         });
     }
 
-    /// One engine does not hold one prefix any more; `true` when other nodes believe that it does.
+    /// Removes an engine from the holders of a prefix; returns `true` if other nodes have been told
+    /// that it is a holder.
     pub fn forget(&mut self, key: PartKey, engine: &BackEndName) -> bool {
         let Some(holders) = self.holders.get_mut(&key) else {
             return false;
@@ -110,7 +112,8 @@
         position.is_some_and(|position| holders.swap_remove(position).is_announced)
     }
 
-    /// Drops the eighth of the prefixes that were unused longest, so that this is done seldom.
+    /// Evicts the least recently used eighth of the prefixes at once, so that the sort is rarely
+    /// needed.
     fn forget_oldest(&mut self) {
         let last_use = |holders: &[Holder]| holders.iter().map(|holder| holder.used_at).max();
         let mut times: Vec<_> = self.holders.values().map(|held| last_use(held)).collect();
--- a/crates/gateway/src/placement/kv_store_watch.rs
+++ b/crates/gateway/src/placement/kv_store_watch.rs
@@ -1,4 +1,4 @@
-//! Noticing that the store of kept KV cache has lost what it held.
+//! Detects restarts of the KV store, which lose its contents.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,22 +10,24 @@
 use crate::gateway::Gateway;
 use crate::peers::{KvStoreNews, KvStoreState};
 
-/// Time between questions.
+/// Interval between polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The port to the store of kept KV cache.
+/// Client that polls the KV store.
 pub trait KvStoreProbe {
-    /// Names the life of the store's process; `None` when it does not answer.
+    /// Returns the epoch of the store's process, which changes with each start; `None` if the store
+    /// does not answer.
     fn epoch(&self, address: SocketAddr) -> LocalBoxFuture<'_, Option<u64>>;
 }
 
-/// Asks the stores that fall to this node for their epochs, and tells the other nodes: a store that
-/// was restarted is empty, so what it is believed to hold must be saved again.
+/// Polls the epochs of the KV stores that are assigned to this node and announces them to the other
+/// nodes. A restarted store is empty, so the prefixes it was believed to hold must be saved again.
 pub async fn watch_kv_store(gateway: Rc<Gateway>, probe: Rc<dyn KvStoreProbe>) {
     loop {
         sleep(POLL_INTERVAL).await;
         for address in gateway.kv_stores_to_ask() {
-            // One lost answer may be the network's; two in a row are the store's.
+            // One lost answer may be due to the network. The store is reported as down only after
+            // two in a row.
             let first = probe.epoch(address).await;
             let epoch = match first {
                 Some(epoch) => Some(epoch),
--- a/crates/gateway/src/placement/kv_stores.rs
+++ b/crates/gateway/src/placement/kv_stores.rs
@@ -1,46 +1,46 @@
-//! Which stores of kept KV cache answer, and in which life.
+//! Reachability and epochs of the KV stores.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::peers::KvStoreState;
 
-/// What is believed of the stores of kept KV cache; one that nobody has told of is taken to answer.
+/// What is known of the KV stores. A store without any report is assumed to be reachable.
 #[derive(Debug, Default)]
 pub struct KvStores {
     states: BTreeMap<SocketAddr, KvStoreState>,
-    /// The last life of each store: it stays known while the store is down.
+    /// Last known epoch of each store; kept while the store is down.
     epochs: BTreeMap<SocketAddr, u64>,
 }
 
-/// What news of a store mean.
+/// What a report about a KV store changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreChange {
-    /// Nothing new.
+    /// No change.
     Unchanged,
-    /// It answers now, or does not any more.
+    /// The store has become reachable (`true`) or unreachable (`false`).
     ReachabilityChanged(bool),
-    /// It has another life, so what it held before is gone.
+    /// The store has restarted, so its former contents are lost.
     Restarted {
-        /// The life before.
+        /// Epoch before the restart.
         before: u64,
-        /// The life now.
+        /// Epoch after the restart.
         epoch: u64,
     },
 }
 
 impl KvStores {
-    /// Whether a store answers, as far as known.
+    /// Whether the store is reachable, as far as known.
     pub fn is_up(&self, address: SocketAddr) -> bool {
         self.states.get(&address) != Some(&KvStoreState::Down)
     }
 
-    /// The state of a store, as last heard.
+    /// The last reported state of a store.
     pub fn state(&self, address: SocketAddr) -> Option<KvStoreState> {
         self.states.get(&address).copied()
     }
 
-    /// Takes news of a store.
+    /// Applies a report about a store.
     pub fn note(&mut self, address: SocketAddr, state: KvStoreState) -> StoreChange {
         let was_up = self.is_up(address);
         self.states.insert(address, state);
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Where a request runs: the engine with the least cost.
+//! Selects the engine that runs a request: the one with the lowest cost.
 
 mod cache_feed;
 mod cache_watch;
@@ -33,5 +33,6 @@
 
 use prompt_for_weights::PromptForWeights;
 
-/// Fewest shared tokens that are worth saving to the store, and telling other nodes of.
+/// Minimum number of shared prompt tokens for which a prefix is saved to the KV store and announced
+/// to other nodes.
 const MIN_SAVED_TOKENS: u32 = 256;
--- a/crates/gateway/src/placement/placement_prices.rs
+++ b/crates/gateway/src/placement/placement_prices.rs
@@ -1,48 +1,52 @@
-//! Prices of placement.
+//! Prices of the cost components in placement.
 
 use std::time::Duration;
 
-/// Prices in one unit: the worth of a typical request is a few units.
+/// Prices of the cost components, all in one arbitrary unit. Serving a typical request is worth a
+/// few units.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementPrices {
-    /// A request whose first token comes at its target latency; grows with the square.
+    /// A request whose first token arrives at its target latency. The cost grows with the square of
+    /// the latency.
     pub first_token_at_target: f64,
-    /// A request that begins on weights which were replaced longer than `stale_after` ago. Callers
-    /// value its answer less, though not as little as a late one; see docs/design/decisions.md.
+    /// A request that starts on weights replaced longer than `stale_after` ago. Callers value its
+    /// answer less, but more than a late one; see docs/design/decisions.md.
     pub stale: f64,
-    /// Replaced weights cost nothing for so long after the newer ones were named.
+    /// Replaced weights cost nothing for this time after the newer version was published.
     pub stale_after: Duration,
-    /// A token that is read although some engine holds it.
+    /// A token that is prefilled although another engine has it cached.
     pub reprefill_token: f64,
-    /// A gigabyte of KV cache moved within a zone.
+    /// A gigabyte of KV cache transferred within a zone.
     pub moved_gigabyte: f64,
-    /// The same between zones.
+    /// A gigabyte of KV cache transferred between two zones of a region.
     pub moved_gigabyte_across_zones: f64,
-    /// The same between regions.
+    /// A gigabyte of KV cache transferred between regions.
     pub moved_gigabyte_across_regions: f64,
-    /// Cache that is fetched drives out as much of what its engine held, and this share of it has to
-    /// be read again: an engine that is sent the same prefixes all the time keeps more of them.
+    /// Share of the fetched tokens that cause another prefill later. A fetch evicts as much of the
+    /// engine's cache, and this share of the evicted tokens is needed again. The price favours
+    /// sending the same prefixes to the same engine, which then keeps more of them.
     pub displaced_share: f64,
-    /// Risk that a part that nobody is known to hold is read by another engine at the same time,
-    /// when it is not sent to the engine that all nodes send it to.
+    /// Probability that a prefix without a known holder is prefilled by another engine at the same
+    /// time if it is not sent to its home engine.
     pub duplicate_prefill_risk: f64,
-    /// A kilobyte of a request sent to another zone.
+    /// A kilobyte of a request body sent to another zone of the region.
     pub kilobyte_across_zones: f64,
-    /// The same to another region.
+    /// A kilobyte of a request body sent to another region.
     pub kilobyte_across_regions: f64,
-    /// A request that goes to another region is answered so much later.
+    /// Additional latency of a request that is sent to another region.
     pub remote_delay: Duration,
-    /// Share of an engine's KV memory in use that counts as crowded.
+    /// Share of an engine's KV memory above which further use has a cost.
     pub kv_high_share: f64,
-    /// An engine whose KV memory is exceeded by all of its size.
+    /// KV memory use that exceeds `kv_high_share` by the engine's whole KV memory. Smaller excesses
+    /// cost proportionally less.
     pub kv_overuse: f64,
-    /// Each request at an engine, for each of its slots.
+    /// An engine with all slots in use. Fewer requests cost proportionally less.
     pub occupied: f64,
-    /// Prompt tokens that an engine reads in a millisecond, until measured.
+    /// Prompt tokens that an engine prefills per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Milliseconds that an engine takes for each token of an answer.
+    /// Milliseconds that an engine takes to decode one token.
     pub decode_token_ms: f64,
-    /// A request at an engine that is kept for requests of another kind.
+    /// A request placed on an engine that is reserved for requests of the other kind.
     pub wrong_split_side: f64,
 }
 
--- a/crates/gateway/src/placement/placement_request.rs
+++ b/crates/gateway/src/placement/placement_request.rs
@@ -1,4 +1,4 @@
-//! What placement knows of a request.
+//! The properties of a request that placement depends on.
 
 use std::time::Duration;
 
@@ -6,27 +6,28 @@
 
 use super::Prompt;
 
-/// What placement knows of a request.
+/// The properties of a request that placement depends on.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest<'a> {
-    /// Names the request; breaks ties.
+    /// Id of the request; seeds the sample of engines and breaks ties.
     pub id: &'a str,
     /// The pool that serves it.
     pub pool: &'a PoolName,
-    /// Its prompt; `None` for plain requests.
+    /// The prompt; `None` for requests to plain services.
     pub prompt: Option<&'a Prompt>,
-    /// The tenant, when it shares no cached prefix with others.
+    /// The tenant, if its cached prefixes must not be shared with other tenants.
     pub isolated_tenant: Option<&'a TenantName>,
-    /// Time to the first token that callers hope for.
+    /// Latency of the first token that the caller asks for.
     pub target_latency: Duration,
-    /// Bytes of its body.
+    /// Size of the request body.
     pub body_bytes: usize,
-    /// Back ends that it was sent to before.
+    /// Back ends to which earlier attempts were sent.
     pub tried: &'a [BackEndName],
 }
 
 impl PlacementRequest<'_> {
-    /// The text that separates cached prefixes: same weights, and same tenant where isolated.
+    /// The salt of the prompt's keys. Prefixes are shared only between requests with the same
+    /// weights and, for isolated tenants, the same tenant.
     pub fn salt(&self, weights: u64) -> String {
         match self.isolated_tenant {
             Some(tenant) => format!("w{weights}.{tenant}"),
--- a/crates/gateway/src/placement/prefill_demand.rs
+++ b/crates/gateway/src/placement/prefill_demand.rs
@@ -1,4 +1,4 @@
-//! How much is read for requests that mostly read.
+//! Demand for prefill from prefill-heavy requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use ryerouter_core::quota::Meter;
 use serde::{Deserialize, Serialize};
 
-/// Demand is averaged over this time: long enough that the division of engines does not follow
-/// single prompts, short enough to follow a burst.
+/// Demand is averaged over this time: long enough that the prefill split does not follow single
+/// prompts, short enough to follow a burst.
 const AVERAGING_TIME: Duration = Duration::from_secs(4);
 
-/// Prompt tokens a second that requests which mostly read bring to a pool.
+/// Prompt tokens per second that prefill-heavy requests bring to a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillDemandUpdate(pub PoolName, pub u32);
 
-/// Prompt tokens a second that requests which mostly read bring to each pool, over all nodes.
+/// Prompt tokens per second that prefill-heavy requests bring to each pool, summed over all nodes.
 #[derive(Debug, Default)]
 pub struct PrefillDemand {
     own: BTreeMap<PoolName, Meter>,
@@ -24,14 +24,14 @@
 }
 
 impl PrefillDemand {
-    /// A request which mostly reads goes to a pool and brings so many tokens.
+    /// Records a prefill-heavy request for the pool with this many prompt tokens to prefill.
     pub fn count(&mut self, pool: &PoolName, tokens: u32, now: Timestamp) {
         let fresh = || Meter::new(AVERAGING_TIME, now);
         let own = self.own.entry(pool.clone()).or_insert_with(fresh);
         own.count(f64::from(tokens), now);
     }
 
-    /// What this node tells the others.
+    /// The demand at this node, to be sent to the other nodes.
     pub fn updates(&self, now: Timestamp) -> Vec<PrefillDemandUpdate> {
         let own = self.own.iter();
         let reported = own
@@ -41,12 +41,12 @@
             .collect()
     }
 
-    /// Takes what the others told, summed up.
+    /// Replaces the sum of the demand that other nodes report.
     pub fn set_others(&mut self, others: HashMap<PoolName, f64>) {
         self.others = others;
     }
 
-    /// Prompt tokens a second at all nodes.
+    /// Demand for the pool at all nodes, in prompt tokens per second.
     pub fn per_second(&self, pool: &PoolName, now: Timestamp) -> f64 {
         let own = self
             .own
--- a/crates/gateway/src/placement/prefill_split.rs
+++ b/crates/gateway/src/placement/prefill_split.rs
@@ -1,4 +1,4 @@
-//! Engines that mostly read and engines that mostly generate.
+//! Splits a pool into engines for prefill-heavy and engines for decode-heavy requests.
 
 use std::collections::BTreeMap;
 
@@ -7,37 +7,38 @@
 use super::{PlacementPrices, Prompt};
 use crate::engines::{Engine, EngineTable};
 
-/// Below this share of the engines' time reading is so rare that keeping engines for it costs more
-/// than it saves.
+/// Minimum share of the engines' time that prefill-heavy requests need. Below it, reserving engines
+/// for them costs more than it saves.
 const MIN_PREFILL_SHARE: f64 = 0.02;
-/// Engines that mostly read are to be so many that reading keeps them busy for at most this share of
-/// their time: more would make prompts queue there.
+/// Enough engines are reserved for prefill-heavy requests that prefill takes at most this share of
+/// their time. At a higher utilization prompts would queue there.
 const MAX_PREFILL_UTILIZATION: f64 = 0.5;
-/// The other engines are to be so many that requests hold at most this share of their slots.
+/// Enough other engines are left that requests occupy at most this share of their slots.
 const MAX_SLOT_UTILIZATION: f64 = 0.8;
-/// Engines are divided while the two need at most this share of them together. With less to spare
-/// one side or the other would have queues, which cost more than pauses do.
+/// A pool is split only if both sides together need at most this share of its engines. With less
+/// spare capacity one side would have queues, which cost more than pauses in streams.
 const MAX_NEEDED_SHARE: f64 = 0.9;
-/// The same once they are divided, so that small changes do not end it.
+/// Limit for a pool that is already split. It is higher than [`MAX_NEEDED_SHARE`], so that small
+/// changes in load don't end the split.
 const MAX_NEEDED_SHARE_WHILE_SPLIT: f64 = 1.05;
 
-/// How the engines of a pool are divided between requests that mostly read and those that mostly
-/// generate.
+/// How the engines of a pool are split between prefill-heavy and decode-heavy requests.
 ///
-/// An engine reads a prompt in large pieces between two tokens of the streams that it runs, so a few
-/// long prompts on end make all of its streams pause. What nodes know of each other's choices is
-/// older than a prompt takes to be read, so they can't keep long prompts apart in time; they keep
-/// them apart from streams by place. All nodes divide alike, by a hash of the engines' names; the
-/// share follows what all of them see. See docs/design/shifted.md.
+/// An engine prefills a prompt in large chunks between decode steps, so a few long prompts in a row
+/// make all of its streams pause. Nodes can't avoid this by spreading long prompts over time,
+/// because what they know of each other's choices is older than the prefill of a prompt takes.
+/// Instead, long prompts go to other engines than streams. All nodes compute the same split from a
+/// hash of the engines' names and the demand that all nodes report. See docs/design/shifted.md.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PrefillSplit {
-    /// In each zone the engines up to this hash mostly read.
+    /// In each zone, engines whose name hash is at most this value are reserved for prefill-heavy
+    /// requests.
     last_prefill_hash: BTreeMap<ZoneName, u64>,
 }
 
 impl PrefillSplit {
-    /// Divides the engines of a pool that is asked to read so many tokens a second; `None` when
-    /// nothing is to be gained. `was_split` tells whether they are divided so far.
+    /// Splits a pool that receives `tokens_per_second` prompt tokens in prefill-heavy requests.
+    /// Returns `None` if a split gains nothing. `was_split` says whether the pool is split so far.
     pub fn new(
         engines: &EngineTable,
         pool: &PoolName,
@@ -49,7 +50,7 @@
         Self::from_engines(of_pool, tokens_per_second, prices, was_split)
     }
 
-    /// The same for some engines of a pool, to which its requests go.
+    /// Like [`Self::new`], but for a subset of a pool's engines that its requests go to.
     pub fn from_engines<'a>(
         engines: impl Iterator<Item = &'a Engine>,
         tokens_per_second: f64,
@@ -76,7 +77,7 @@
             let of_zone = hashes.entry(&engine.entry.zone).or_default();
             of_zone.push(engine.name_hash);
         }
-        // What is to spare goes to both sides alike.
+        // Spare capacity is given to both sides in proportion to their needs.
         let share = prefill_share / needed;
         let last_prefill_hash = hashes
             .into_iter()
@@ -85,7 +86,7 @@
         Some(Self { last_prefill_hash })
     }
 
-    /// How many engines are kept for requests that mostly read.
+    /// Number of engines reserved for prefill-heavy requests.
     pub fn count(&self, engines: &EngineTable) -> usize {
         engines
             .iter()
@@ -93,15 +94,15 @@
             .count()
     }
 
-    /// Whether an engine is kept for requests that mostly read.
+    /// Whether the engine is reserved for prefill-heavy requests.
     pub fn prefills(&self, engine: &Engine) -> bool {
         let last = self.last_prefill_hash.get(&engine.entry.zone);
         last.is_some_and(|last| engine.name_hash <= *last)
     }
 }
 
-/// The last of a zone's engines that mostly read: at least one does and one does not, where there
-/// are two.
+/// The highest hash of a reserved engine in a zone. With at least two engines in the zone, each
+/// side gets at least one; with fewer, none is reserved.
 fn last_prefill_hash(mut hashes: Vec<u64>, share: f64) -> Option<u64> {
     hashes.sort_unstable();
     let most = hashes.len().checked_sub(1).filter(|most| *most > 0)?;
@@ -109,7 +110,7 @@
     Some(hashes[wanted.clamp(1, most) - 1])
 }
 
-/// Whether an engine spends more time on reading a prompt than on the answer.
+/// Whether prefilling the prompt takes an engine longer than decoding the answer.
 pub fn is_prefill_heavy(prompt: &Prompt, prices: &PlacementPrices) -> bool {
     let tokens = prompt.expected_tokens.unwrap_or(prompt.output_tokens);
     let prefill_ms = f64::from(prompt.prompt_tokens) / prices.prefill_tokens_per_ms;
--- a/crates/gateway/src/placement/prompt.rs
+++ b/crates/gateway/src/placement/prompt.rs
@@ -5,29 +5,32 @@
 /// One part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its text.
+    /// Identifies the text of the part.
     pub id: String,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// A prompt as its caller declares it: parts in order, the last one the request's own.
+/// A prompt as its caller declares it: parts in order, of which the last belongs to this request
+/// alone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model that is asked.
+    /// The requested model.
     pub model: String,
-    /// Its parts.
+    /// The parts in order.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub output_tokens: u32,
-    /// Tokens of the answer that the caller expects; it is right in the middle and often far off.
+    /// Number of tokens of the answer that the caller expects. The median of these figures is
+    /// right, but single ones are often far off.
     pub expected_tokens: Option<u32>,
 }
 
 impl Prompt {
-    /// Keys of its parts under `salt`, each with the tokens to its end.
+    /// Keys of the parts under `salt`, each with the number of tokens from the start of the prompt
+    /// to the end of the part.
     pub fn keys(&self, salt: &str) -> PromptKeys {
         let mut end_tokens = 0;
         let mut keys = Vec::with_capacity(self.parts.len());
@@ -38,7 +41,7 @@
         PromptKeys(keys)
     }
 
-    /// Tokens of the parts that other requests may share: all but the last.
+    /// Number of tokens in the parts that other requests may share, which are all but the last.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self.parts.len().saturating_sub(1);
         self.parts[..shared].iter().map(|part| part.tokens).sum()
--- a/crates/gateway/src/placement/prompt_for_weights.rs
+++ b/crates/gateway/src/placement/prompt_for_weights.rs
@@ -6,27 +6,31 @@
 use crate::engines::Engine;
 use crate::topology::Distance;
 
-/// Nobody is told who holds small parts. Each zone reads them for itself, and where there are several
-/// regions, so that zones are many, each region does.
+/// Holders of small prefixes are not announced to other nodes, so each zone has a home engine for
+/// them. With several regions there are many zones, and each region has one home engine instead.
 const SMALL_PREFIX_HOME_SCOPE: Distance = Distance::Near;
 const SMALL_PREFIX_HOME_SCOPE_WITH_REGIONS: Distance = Distance::SameRegion;
-/// Each region reads other parts once, or fetches them from another region that has.
+/// For large prefixes each region has one home engine. It prefills the prefix once or fetches it
+/// from a region that has it.
 const LARGE_PREFIX_HOME_SCOPE: Distance = Distance::SameRegion;
 
-/// A prompt under one version of the weights: its salt and keys, and who reads it first.
+/// A prompt under one version of the weights: its salt, its keys and its home engine.
+///
+/// The home engine is the engine to which all nodes send a prefix that no engine is known to hold.
+/// It is the first one in rendezvous order within the home scope.
 #[derive(Debug)]
 pub(super) struct PromptForWeights {
     model: String,
     pub(super) weights: u64,
     pub(super) salt: String,
     pub(super) keys: PromptKeys,
-    /// Orders engines the same on every node.
+    /// Seeds the rendezvous order of engines, which is the same on every node.
     order_key: u64,
-    /// Place of the first engine in that order.
+    /// Rendezvous score of the first engine in the pool.
     highest_order: u64,
-    /// The same of the engines in this node's zone.
+    /// Rendezvous score of the first engine in this node's zone; zero if there is none.
     highest_zone_order: u64,
-    /// The same of those in its region.
+    /// Rendezvous score of the first engine in this node's region; zero if there is none.
     highest_region_order: u64,
     /// Whether there are several regions.
     has_regions: bool,
@@ -55,17 +59,17 @@
         }
     }
 
-    /// Whether an engine has these weights.
+    /// Whether the engine has these weights.
     pub(super) fn has_weights_of(&self, engine: &Engine) -> bool {
         engine.serving_weights_of(&self.model) == Some(self.weights)
     }
 
-    /// Place of an engine in the order, the highest first.
+    /// Rendezvous score of an engine; the highest score comes first.
     pub(super) fn order_of(&self, engine: &Engine) -> u64 {
         rendezvous_score(self.order_key, engine.name_hash)
     }
 
-    /// An engine with these weights takes work.
+    /// Takes an engine with these weights into account as a possible home engine.
     pub(super) fn consider_home_engine(&mut self, engine: &Engine, distance: Distance) {
         let order = self.order_of(engine);
         self.highest_order = self.highest_order.max(order);
@@ -77,24 +81,24 @@
         }
     }
 
-    /// Tokens of the parts that other requests may share.
+    /// Number of tokens in the parts that other requests may share.
     pub(super) fn shared_tokens(&self) -> u32 {
         self.keys.shared().last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Whether the shared parts are so few that each zone or region reads them for itself: sending the
-    /// request further costs more, and nobody is told who holds them.
+    /// Whether the shared prefix is so short that each zone or region prefills it for itself.
+    /// Sending the request further away would cost more, and its holders are not announced.
     pub(super) fn is_small(&self) -> bool {
         self.shared_tokens() < MIN_SAVED_TOKENS
     }
 
-    /// Whether all nodes, or for small parts all nodes of the zone or region, send parts that nobody
-    /// holds to this engine.
+    /// Whether this is the home engine, to which all nodes in the home scope send a prefix without
+    /// a known holder.
     pub(super) fn is_home_engine(&self, engine: &Engine) -> bool {
         self.order_of(engine) == self.home_order_within(self.home_scope())
     }
 
-    /// Within which distance of a node all requests go to one first reader.
+    /// Distance from a node within which its home engine is chosen.
     fn home_scope(&self) -> Distance {
         match self.is_small() {
             true if self.has_regions => SMALL_PREFIX_HOME_SCOPE_WITH_REGIONS,
@@ -103,7 +107,8 @@
         }
     }
 
-    /// Place of the first engine within a distance; of all when none is that near.
+    /// Score of the first engine within a distance; of the first engine anywhere if there is none
+    /// that near.
     fn home_order_within(&self, distance: Distance) -> u64 {
         let orders = match distance {
             Distance::Near => [self.highest_zone_order, self.highest_region_order],
