--- a/crates/gateway/src/engines/engine.rs
+++ b/crates/gateway/src/engines/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as this process knows it.
+//! State of one engine as known to this process.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,57 +11,61 @@
 
 use super::{EngineEntry, EngineLoad, EngineState};
 
-/// An engine that had no room is avoided for so long at first.
+/// An engine that refused a request for lack of capacity is avoided for this time. The time doubles
+/// with each further refusal in a row.
 const FULL_BACKOFF: Duration = Duration::from_millis(150);
-/// This time doubles with each refusal in a row, so often at most.
+/// Maximum number of doublings of [`FULL_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Weights that an engine loads.
+/// Weights that an engine is loading.
 #[derive(Debug)]
 struct Loading {
     model: String,
     version: u64,
-    /// Without further news it is believed to be done by then.
+    /// Without further reports the load is assumed to be complete at this time.
     until: Timestamp,
 }
 
-/// One engine or plain back end as this process knows it.
+/// State of one engine or plain back end as known to this process.
 #[derive(Debug)]
 pub struct Engine {
-    /// What the list tells.
+    /// Entry of the engine in the source's list.
     pub entry: EngineEntry,
-    /// Hash of its name, for deterministic orders of engines.
+    /// Hash of the name, for deterministic orders of engines.
     pub name_hash: u64,
-    /// When it was first listed in this life.
+    /// When the current incarnation was first listed.
     pub listed_at: Timestamp,
-    /// What it has said of itself.
+    /// State that the engine has signalled about itself, such as limits and shutdown.
     pub condition: Condition,
-    /// Whether it fails requests.
+    /// Whether the engine fails requests.
     pub health: EngineHealth,
-    /// Work of this process there.
+    /// Load that this process has placed on the engine.
     pub own_load: Rc<RefCell<EngineLoad>>,
-    /// Work of all other processes there, as they last told.
+    /// Load that all other processes have placed on the engine, as last reported.
     pub foreign_load: EngineLoad,
-    /// The weights that it loads, as long as this is believed.
+    /// Weights that the engine is believed to be loading.
     loading: Option<Loading>,
-    /// It had other weights than expected, so it is about to load and is avoided until this time.
+    /// The engine had other weights than expected, so it is probably about to load. It is avoided
+    /// until this time.
     misdirected_until: Option<Timestamp>,
-    /// Weights that it seems to have, though nobody said so: model and version.
+    /// Weights that the engine probably has, although no load was confirmed: model and version.
     presumed_weights: Option<(String, u64)>,
-    /// Its entry went without a word while the list was not to be trusted.
+    /// The engine's entry disappeared while the source's list was unreliable. The engine may still
+    /// serve requests.
     pub is_unlisted: bool,
-    /// It refused work for want of room and is avoided until this time.
+    /// The engine refused a request for lack of capacity and is avoided until this time.
     pub full_until: Option<Timestamp>,
-    /// How often it refused work since it last took some.
+    /// Number of refusals since the engine last accepted a request.
     refusals_in_a_row: u32,
-    /// When the latest request was sent that it has answered.
+    /// When the most recent request that the engine answered was sent.
     answered_sent_at: Option<Timestamp>,
-    /// When it seems to have ended: its connections broke off, and it has taken nothing since.
+    /// When the engine probably crashed: its connections broke, and it has accepted no request
+    /// since.
     crashed_at: Option<Timestamp>,
 }
 
 impl Engine {
-    /// An engine that was just listed.
+    /// Creates an engine that was just listed.
     pub fn new(entry: EngineEntry) -> Self {
         Self {
             name_hash: xxh3_64(entry.name.as_str().as_bytes()),
@@ -82,18 +86,19 @@
         }
     }
 
-    /// Whether it is slow from its start.
+    /// Whether the engine is still slow after its start.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         now.since(self.listed_at) < self.entry.cold_left
     }
 
-    /// Version of its weights of a model, as far as known.
+    /// Version of the engine's weights of a model, as far as known.
     pub fn weights_of(&self, model: &str) -> Option<u64> {
         self.entry.weights.get(model).copied()
     }
 
-    /// Version of its weights that requests should expect: the known one, unless it turned that
-    /// away after a load of another was announced.
+    /// Version of the weights that requests should expect. This is the known version, or the
+    /// presumed newer one after the engine rejected a request for the known version while it was
+    /// loading.
     pub fn serving_weights_of(&self, model: &str) -> Option<u64> {
         let presumed_weights = self.presumed_weights.as_ref();
         let presumed_weights = presumed_weights.filter(|(of, _)| of == model);
@@ -102,9 +107,10 @@
             .max(self.weights_of(model))
     }
 
-    /// Takes news of its weights; versions only rise within one life of an engine.
+    /// Applies a report of the engine's weights; returns `true` if the version is newer than the
+    /// known one. Versions only increase within one incarnation of an engine.
     pub fn note_weights(&mut self, model: &str, version: u64) -> bool {
-        // News of the version before say nothing about the end of a load.
+        // A report of an older version doesn't mean that the load is complete.
         self.loading
             .take_if(|loading| loading.model == model && loading.version <= version);
         let known = self.entry.weights.entry(model.to_owned()).or_default();
@@ -115,7 +121,8 @@
         is_news
     }
 
-    /// It loads a version of a model's weights, which is believed until `until` at most.
+    /// Records that the engine is loading a version of a model's weights. The load is assumed to be
+    /// complete at `until` at the latest.
     pub fn note_loading(&mut self, model: &str, version: u64, until: Timestamp) {
         let newest = self.loading.as_ref().map(|loading| loading.version);
         let is_old = self.weights_of(model) >= Some(version) || newest > Some(version);
@@ -128,11 +135,12 @@
         }
     }
 
-    /// It turned a request away that expected this version of a model's weights.
+    /// Records that the engine rejected a request because it doesn't have the expected weights.
     ///
-    /// When a load was announced and its end never told, as when the node that ordered it has lost
-    /// its lease, the engine most likely has loaded. That is presumed until it turns those weights
-    /// away as well; else the engine is avoided until `until`.
+    /// If a load was announced but its end never reported, for instance because the node that
+    /// ordered it lost its lease, the engine has most likely completed the load. It is then
+    /// presumed to have the new weights until it rejects a request for them as well. Otherwise the
+    /// engine is avoided until `until`.
     pub fn note_misdirected(&mut self, expected: Option<(&str, u64)>, until: Timestamp) {
         let expected = expected.map(|(model, version)| (model.to_owned(), version));
         let loaded = self.loading.as_ref();
@@ -151,27 +159,29 @@
         }
     }
 
-    /// Whether it is believed to load weights.
+    /// Whether the engine is believed to be loading weights.
     pub fn is_loading(&self, now: Timestamp) -> bool {
         let loading = self.loading.as_ref();
         loading.is_some_and(|loading| now < loading.until)
     }
 
-    /// It refused work for want of room: avoided for longer after each refusal in a row, as when it
-    /// loads weights and nobody could tell.
+    /// Records that the engine refused a request for lack of capacity. The engine is avoided for
+    /// longer after each refusal in a row, because it may be loading weights without anybody being
+    /// able to report it.
     pub fn note_full(&mut self, now: Timestamp) {
         let doublings = self.refusals_in_a_row.min(MAX_BACKOFF_DOUBLINGS);
         self.refusals_in_a_row += 1;
         self.full_until = Some(now.after(FULL_BACKOFF * 2_u32.pow(doublings)));
     }
 
-    /// It took work.
+    /// Records that the engine accepted a request.
     pub fn note_accepted(&mut self) {
         self.refusals_in_a_row = 0;
         self.crashed_at = None;
     }
 
-    /// The connection of a run that began then broke off. Runs that end together are one end, that of the first.
+    /// Records that a run which started at `began` lost its connection at `ended`. Runs that were
+    /// in progress together count as one crash, at the time of the first loss.
     pub fn note_crashed(&mut self, began: Timestamp, ended: Timestamp) {
         let is_known = self.crashed_at.is_some_and(|at| at >= began);
         if !is_known {
@@ -179,40 +189,42 @@
         }
     }
 
-    /// When it seems to have ended.
+    /// When the engine probably crashed.
     pub fn crashed_at(&self) -> Option<Timestamp> {
         self.crashed_at
     }
 
-    /// It answered a request that was sent then, in whatever way.
+    /// Records any answer to a request that was sent at `sent_at`.
     pub fn note_answer_to(&mut self, sent_at: Timestamp) {
         self.answered_sent_at = self.answered_sent_at.max(Some(sent_at));
     }
 
-    /// Whether it has answered anything since this process knows it.
+    /// Whether the engine has answered anything since this process has known it.
     pub fn has_answered(&self) -> bool {
         self.answered_sent_at.is_some()
     }
 
-    /// Whether it has answered a request that was sent after a moment.
+    /// Whether the engine has answered a request that was sent after `moment`.
     pub fn has_answered_request_sent_after(&self, moment: Timestamp) -> bool {
         self.answered_sent_at > Some(moment)
     }
 
-    /// Whether it stays, by the list and by its own word, which may be newer.
+    /// Whether the engine is not shutting down, according to its list entry and to its own signals,
+    /// which may be newer.
     pub fn is_staying(&self) -> bool {
         self.entry.state == EngineState::Ready && !self.condition.is_leaving()
     }
 
-    /// Whether new work may be sent. What the engine says of itself is a promise to it: as a cost, like other refusals, it
-    /// would be outweighed when all other engines cost more.
+    /// Whether new requests may be sent to the engine. The limits that the engine signals are
+    /// binding. If they were a cost instead, as other refusals are, they would be ignored whenever
+    /// all other engines cost more.
     pub fn takes_work(&self, now: Timestamp) -> bool {
         let is_misdirected = self.misdirected_until.is_some_and(|until| now < until);
         let is_willing = self.is_staying() && !self.is_loading(now);
         is_willing && !is_misdirected && self.condition.bar(now).is_none()
     }
 
-    /// All work there.
+    /// Total load on the engine.
     pub fn load(&self) -> EngineLoad {
         let mut load = *self.own_load.borrow();
         load.add(self.foreign_load);
--- a/crates/gateway/src/engines/engine_entry.rs
+++ b/crates/gateway/src/engines/engine_entry.rs
@@ -1,4 +1,4 @@
-//! What the list of back ends tells of one.
+//! Entries of the list of back ends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,42 +8,42 @@
 use ryerouter_core::release::SoftwareVersion;
 use serde::{Deserialize, Serialize};
 
-/// Whether a back end takes new work, by its own word.
+/// Whether a back end accepts new requests, as it declares itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineState {
-    /// Takes new work.
+    /// Accepts new requests.
     Ready,
-    /// Leaves; finishes what it has.
+    /// Shuts down; completes the requests it has.
     Draining,
 }
 
 /// One back end process in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEntry {
-    /// Its name.
+    /// Unique name of the back end.
     pub name: BackEndName,
-    /// The pool it serves.
+    /// The pool that the back end serves.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// The zone in which the back end runs.
     pub zone: ZoneName,
-    /// Requests that run at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the back end accepts new requests.
     pub state: EngineState,
-    /// Version of the weights of each model it serves.
+    /// Version of the weights of each model that the back end serves.
     pub weights: BTreeMap<String, u64>,
-    /// Orders that it has taken.
+    /// Number of orders that the back end has accepted.
     pub orders_taken: u64,
-    /// Version of its software; empty when it tells none.
+    /// Version of the software; empty if the back end doesn't report one.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub software: SoftwareVersion,
-    /// How long after it was listed it stays slow from its start.
+    /// Time after listing for which the back end is still slow after its start.
     #[serde(default, skip_serializing_if = "Duration::is_zero")]
     pub cold_left: Duration,
-    /// Which of its lives this is: it may begin again under the same name, and then holds and knows
-    /// nothing of before. `None` when it does not tell.
+    /// Incarnation of the back end. It may restart under the same name and then has lost all of its
+    /// former state. `None` if the back end doesn't report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
 }
--- a/crates/gateway/src/engines/engine_table.rs
+++ b/crates/gateway/src/engines/engine_table.rs
@@ -1,4 +1,4 @@
-//! All engines.
+//! All known engines.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::ops::Bound;
@@ -8,14 +8,14 @@
 use super::removed_conditions::RemovedConditions;
 use super::{Engine, EngineEntry, EngineLoad, IncarnationOrder};
 
-/// All engines by name; iterates in order of name, so that decisions repeat.
+/// All known engines. Iterates in order of name, so that decisions are reproducible.
 #[derive(Debug, Default)]
 pub struct EngineTable {
     engines: BTreeMap<BackEndName, Engine>,
     removed: RemovedConditions,
-    /// Engines at which other processes have work, as far as they have told.
+    /// Engines on which other processes have reported load.
     loaded: Vec<BackEndName>,
-    /// Rises whenever an engine may have changed.
+    /// Incremented whenever an engine may have changed.
     generation: u64,
 }
 
@@ -25,19 +25,19 @@
         self.engines.get(name)
     }
 
-    /// The engine called `name`, to change it.
+    /// The engine called `name`, for modification.
     pub fn get_mut(&mut self, name: &BackEndName) -> Option<&mut Engine> {
         self.generation += 1;
         self.engines.get_mut(name)
     }
 
-    /// Another figure than before means that what was found out by a look at all engines may not hold any more. The
-    /// work of other processes does not count.
+    /// Changes when a result computed from all engines may be outdated. Changes of the load of
+    /// other processes are not counted.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// How many there are.
+    /// Number of engines.
     pub fn count(&self) -> usize {
         self.engines.len()
     }
@@ -47,7 +47,7 @@
         self.engines.values()
     }
 
-    /// The engines whose names come after `name`; all without.
+    /// The engines whose names come after `name`; all engines if `name` is `None`.
     pub fn after(&self, name: Option<&BackEndName>) -> impl Iterator<Item = &Engine> {
         let begin = name.map_or(Bound::Unbounded, Bound::Excluded);
         let later = self
@@ -56,7 +56,7 @@
         later.map(|(_, engine)| engine)
     }
 
-    /// All engines, to change them.
+    /// All engines, for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Engine> {
         self.generation += 1;
         self.engines.values_mut()
@@ -67,8 +67,10 @@
         self.iter().filter(move |engine| engine.entry.pool == *pool)
     }
 
-    /// Takes an entry of the list; the weights known in-band may be newer. Of an engine that has begun
-    /// again nothing is kept, and work that is still counted in its former life counts there alone.
+    /// Inserts or updates an engine from its list entry. Versions of weights that the engine itself
+    /// has reported are kept if they are newer. If the engine has restarted, all of its former
+    /// state is dropped; requests of the former incarnation that are still counted don't count for
+    /// the new one.
     pub fn upsert(&mut self, mut entry: EngineEntry) {
         self.generation += 1;
         let Some(engine) = self.engines.get_mut(&entry.name) else {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Forgets an engine, but for what it said of itself.
+    /// Removes an engine. The state it has signalled is kept in case it is listed again.
     pub fn remove(&mut self, name: &BackEndName) -> Option<Engine> {
         self.generation += 1;
         let engine = self.engines.remove(name)?;
@@ -105,14 +107,14 @@
         Some(engine)
     }
 
-    /// Names of all engines that `keep` does not hold.
+    /// Names of all engines that are not in `keep`.
     pub fn names_outside(&self, keep: &HashSet<&BackEndName>) -> Vec<BackEndName> {
         let is_outside = |name: &&BackEndName| !keep.contains(name);
         self.engines.keys().filter(is_outside).cloned().collect()
     }
 
-    /// Replaces the work of other processes. Only the engines that have some, or had, are touched: of a fleet's these
-    /// are few, and this happens many times a second.
+    /// Replaces the loads of other processes. Only engines that have or had such load are touched:
+    /// they are few in a large fleet, and this runs many times per second.
     pub fn set_foreign_loads(&mut self, loads: &HashMap<BackEndName, EngineLoad>) {
         for name in std::mem::take(&mut self.loaded) {
             if let Some(engine) = self.engines.get_mut(&name) {
--- a/crates/gateway/src/engines/in_flight.rs
+++ b/crates/gateway/src/engines/in_flight.rs
@@ -1,11 +1,11 @@
-//! Work of this process at an engine, counted while it lasts.
+//! Counts this process's requests at an engine while they are in progress.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use super::EngineLoad;
 
-/// Counts one request at an engine until it is dropped.
+/// Guard that counts one request at an engine until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     counter: Rc<RefCell<EngineLoad>>,
@@ -13,13 +13,13 @@
 }
 
 impl InFlight {
-    /// Counts `load` in `counter` from now on.
+    /// Adds `load` to `counter` until the guard is dropped.
     pub fn new(counter: Rc<RefCell<EngineLoad>>, load: EngineLoad) -> Self {
         counter.borrow_mut().add(load);
         Self { counter, load }
     }
 
-    /// The first token arrived, so the prompt has been read.
+    /// Records that the first token has arrived, so the prompt is prefilled.
     pub fn note_prefill_done(&mut self) {
         let read = EngineLoad {
             unread_tokens: self.load.unread_tokens,
--- a/crates/gateway/src/engines/incarnation_order.rs
+++ b/crates/gateway/src/engines/incarnation_order.rs
@@ -1,22 +1,23 @@
-//! The lives of engines.
+//! Comparison of incarnations of an engine.
 
 use ryerouter_core::identity::Incarnation;
 
-/// Which life of an engine something is about, beside the one that is known.
+/// Relation of a reported incarnation of an engine to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationOrder {
-    /// The same; also where either is not known.
+    /// They are the same, or at least one of them is unknown.
     Same,
-    /// It has begun again.
+    /// The engine has restarted since the known incarnation.
     Newer,
-    /// It has begun again since.
+    /// The report is about an incarnation before the known one.
     Older,
 }
 
 impl IncarnationOrder {
-    /// What is told of the life `reported`, where `known` is.
+    /// Compares a reported incarnation with the known one.
     ///
-    /// An entry that another node hands on may lack it, so nothing follows from that.
+    /// A list entry forwarded by another node may lack the incarnation, so an unknown one proves
+    /// nothing.
     pub fn new(known: Option<Incarnation>, reported: Option<Incarnation>) -> Self {
         match (known, reported) {
             (Some(known), Some(reported)) if reported > known => Self::Newer,
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,4 +1,4 @@
-//! The engines and plain back ends, as this process knows them.
+//! State of the engines and plain back ends, as known to this process.
 
 mod engine;
 mod engine_entry;
--- a/crates/gateway/src/engines/phase_times.rs
+++ b/crates/gateway/src/engines/phase_times.rs
@@ -1,4 +1,4 @@
-//! How long parts of engines' answers take, by what was seen.
+//! Measured durations of the phases of engine responses.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 
 use super::TimeEstimate;
 
-/// Most estimates that are kept: routes that were dropped leave theirs behind. Beyond it all are
-/// forgotten and learnt anew.
+/// Maximum number of estimates. Estimates of removed routes stay in the map; when the limit is
+/// reached, all estimates are dropped and measured again.
 const MAX_ESTIMATES: usize = 1_024;
 
-/// What is waited for on a connection to an engine.
+/// Phase of a response that is awaited on a connection to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ResponsePhase {
     /// From sending a request to the head of its answer.
     Head,
-    /// From there to the first event of a stream.
+    /// From the head of the answer to the first event of the stream.
     FirstEvent,
-    /// The longest pause between the events of one stream.
+    /// The longest pause between two events of a stream.
     Pause,
 }
 
-/// How long parts of answers take: for each pool, route and part by itself, since prompts and plain
-/// requests have little in common. See docs/design/accounting.md.
+/// Estimated durations of response phases. They are kept separately for each pool, route and phase,
+/// since model prompts and plain requests have little in common. See docs/design/accounting.md.
 #[derive(Debug, Default)]
 pub struct PhaseTimes {
     estimates: HashMap<(PoolName, String, ResponsePhase), TimeEstimate>,
 }
 
 impl PhaseTimes {
-    /// A part of an answer came after so long, or not until then.
+    /// Records that a phase took this time, or that it was still not complete after this time.
     pub fn note(&mut self, pool: &PoolName, route: &str, phase: ResponsePhase, took: Duration) {
         let key = (pool.clone(), route.to_owned(), phase);
         if self.estimates.len() >= MAX_ESTIMATES && !self.estimates.contains_key(&key) {
@@ -42,7 +42,7 @@
             .or_insert_with(|| TimeEstimate::first(took));
     }
 
-    /// What is known of a part; `None` before enough was seen.
+    /// The estimate for a phase; `None` until there are enough samples.
     pub fn estimate(
         &self,
         pool: &PoolName,
--- a/crates/gateway/src/engines/removed_conditions.rs
+++ b/crates/gateway/src/engines/removed_conditions.rs
@@ -1,4 +1,4 @@
-//! What engines said of themselves whose entries have gone.
+//! State signalled by engines that are no longer listed.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,18 @@
 
 use super::IncarnationOrder;
 
-/// Most engines that are remembered; the first to go is forgotten.
+/// Maximum number of entries; the oldest one is evicted first.
 const MAX_ENTRIES: usize = 1_024;
 
-/// What engines said of themselves whose entries have gone: an entry may lapse while its engine goes on.
+/// State signalled by engines that are no longer listed. An entry may expire while its engine is
+/// still running.
 #[derive(Debug, Default)]
 pub(super) struct RemovedConditions {
     removed: VecDeque<(BackEndName, Option<Incarnation>, Condition)>,
 }
 
 impl RemovedConditions {
-    /// An entry has gone.
+    /// Keeps the state of an engine that was removed from the list.
     pub(super) fn keep(
         &mut self,
         name: &BackEndName,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// An entry is listed: what its engine said before, when it is in the same life.
+    /// Takes the state of an engine that is listed again, if it is still the same incarnation.
     pub(super) fn take(
         &mut self,
         name: &BackEndName,
--- a/crates/gateway/src/engines/start_delays.rs
+++ b/crates/gateway/src/engines/start_delays.rs
@@ -1,4 +1,4 @@
-//! How long requests take to begin.
+//! Time from the arrival of requests to the start of their answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,27 +6,28 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::PoolName;
 
-/// After this time a measurement counts half.
+/// A measurement counts half after this time.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// The longest time that requests of each pool took to begin lately.
+/// Longest recent start delay of each pool's requests.
 ///
-/// A request that waits in an engine may begin after its weights have run out, and what other nodes
-/// have sent there is only roughly known, so what was measured bounds the estimate from below.
+/// A request queued in an engine may start after the deadline of its weights. The load that other
+/// nodes have placed on the engine is known only roughly, so the measured delay is a lower bound
+/// for the estimate.
 #[derive(Debug, Default)]
 pub struct StartDelays {
     pools: HashMap<PoolName, (Duration, Timestamp)>,
 }
 
 impl StartDelays {
-    /// A request of a pool began `after` it had come.
+    /// Records that a request of the pool started `after` this time since its arrival.
     pub fn note(&mut self, pool: &PoolName, after: Duration, now: Timestamp) {
         if after >= self.max_recent(pool, now) {
             self.pools.insert(pool.clone(), (after, now));
         }
     }
 
-    /// The longest time lately; older measurements count less.
+    /// The longest recent delay; older measurements count less.
     pub fn max_recent(&self, pool: &PoolName, now: Timestamp) -> Duration {
         let Some((measured, at)) = self.pools.get(pool) else {
             return Duration::ZERO;
--- a/crates/gateway/src/engines/time_estimate.rs
+++ b/crates/gateway/src/engines/time_estimate.rs
@@ -1,26 +1,29 @@
-//! How long a part of an answer takes at most.
+//! Upper estimate of the time that a response phase takes.
 
 use std::time::Duration;
 
 use crate::smoothed_time::{Gains, SmoothedTime};
 
-/// Weight of a new value in the mean. RFC 6298 takes 1/8 for one value a round trip; here many come
-/// in that time, and heavy tails would make the mean jump.
+/// Weight of a new sample in the mean. RFC 6298 uses 1/8 for one sample per round trip. Here many
+/// samples arrive in that time, and with heavy tails a larger weight would make the mean jump.
 const MEAN_GAIN: f64 = 1.0 / 32.0;
-/// Weight of a new value in the deviation, twice that of the mean as in RFC 6298.
+/// Weight of a new sample in the deviation; twice that of the mean, as in RFC 6298.
 const DEVIATION_GAIN: f64 = 2.0 * MEAN_GAIN;
-/// Values until an estimate is used.
+/// Minimum number of samples before the estimate is used.
 const MIN_SAMPLES: u32 = 16;
-/// A segment that was lost is sent again after 200 ms at the earliest (`TCP_RTO_MIN`), and the answer
-/// to it takes a moment; nothing shorter is silence.
+/// Minimum timeout. A lost TCP segment is retransmitted after 200 ms at the earliest
+/// (`TCP_RTO_MIN`), and the answer to it takes a moment more.
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// Deviations above the mean that are too long while the engine answers what was sent later. Times
-/// have heavy tails; how seldom this is wrong is measured in docs/design/accounting.md.
+/// Number of deviations above the mean that counts as too long while the engine answers requests
+/// sent later. Response times have heavy tails; the rate of false alarms is measured in
+/// docs/design/accounting.md.
 const DEVIATIONS_WHILE_OTHERS_ANSWERED: f64 = 8.0;
-/// The same while nothing is heard of the engine, so that it may only be slow.
+/// Number of deviations above the mean that counts as too long while the engine sends nothing at
+/// all. It is larger than [`DEVIATIONS_WHILE_OTHERS_ANSWERED`], because the engine may only be
+/// slow.
 const DEVIATIONS_WITHOUT_RESPONSE: f64 = 32.0;
 
-/// How long a part of an answer takes at most.
+/// Upper estimate of the time that a response phase takes.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeEstimate {
     time: SmoothedTime,
@@ -28,7 +31,7 @@
 }
 
 impl TimeEstimate {
-    /// After the first value.
+    /// Creates an estimate from its first sample.
     pub fn first(sample: Duration) -> Self {
         Self {
             time: SmoothedTime::first(sample),
@@ -36,10 +39,11 @@
         }
     }
 
-    /// Takes another value in.
+    /// Adds a sample.
     pub fn note(&mut self, sample: Duration) {
         self.samples = self.samples.saturating_add(1);
-        // The first values weigh as in a plain mean, so that the very first is soon outweighed.
+        // The first samples have equal weights, so that the very first one doesn't dominate for
+        // long.
         let sample_gain = 1.0 / f64::from(self.samples);
         let gains = Gains {
             mean: MEAN_GAIN.max(sample_gain),
@@ -48,17 +52,18 @@
         self.time.note(sample, gains);
     }
 
-    /// Whether enough was seen.
+    /// Whether there are enough samples to use the estimate.
     pub fn is_ready(&self) -> bool {
         self.samples >= MIN_SAMPLES
     }
 
-    /// Longer than this hardly takes any, while the engine answers what was sent later.
+    /// Time after which the phase is considered overdue while the engine answers requests sent
+    /// later.
     pub fn max_while_others_answered(&self) -> Duration {
         self.timeout(DEVIATIONS_WHILE_OTHERS_ANSWERED)
     }
 
-    /// Longer than this hardly takes any, even when the engine is slow.
+    /// Time after which the phase is considered overdue while the engine sends nothing at all.
     pub fn max_without_response(&self) -> Duration {
         self.timeout(DEVIATIONS_WITHOUT_RESPONSE)
     }
