--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -1,6 +1,6 @@
-//! Limits of tenants at this node: its accounts, and what the other nodes tell of theirs.
+//! Rate limits of tenants at this node: its accounts and the usage that other nodes report.
 //!
-//! How requests are decided is [`ryerouter_core::quota`]; see docs/design/tenant-limits.md.
+//! [`ryerouter_core::quota`] decides on requests; see docs/design/tenant-limits.md.
 
 mod standing;
 mod table;
--- a/crates/gateway/src/quotas/standing.rs
+++ b/crates/gateway/src/quotas/standing.rs
@@ -1,38 +1,38 @@
-//! How a tenant stands against its limit.
+//! Usage of a tenant compared with its limit.
 
 use ryerouter_core::identity::TenantName;
 use ryerouter_core::quota::{Limit, Peers, Usage};
 
-/// From this share of its limit on a tenant counts as near it.
+/// A tenant is near its limit from this share of the limit on.
 const NEAR_SHARE: f64 = 0.8;
 
-/// How a tenant stands against its limit, as one node sees it.
+/// Usage of a tenant compared with its limit, as seen by one node.
 #[derive(Debug, Clone, Copy)]
 pub struct Standing<'a> {
     /// The tenant.
     pub tenant: &'a TenantName,
-    /// Its limit.
+    /// Rate limit of the tenant.
     pub limit: &'a Limit,
-    /// What all nodes may admit at once.
+    /// Amount that all nodes together may admit at once.
     pub balance: f64,
-    /// What it uses at this node.
+    /// Usage at this node.
     pub own: Usage,
-    /// The other nodes.
+    /// Number and usage of the other nodes.
     pub peers: Peers,
 }
 
 impl Standing<'_> {
-    /// What it asks for a second at all nodes.
+    /// Amount per second that the tenant requests at all nodes.
     pub fn asked(&self) -> f64 {
         f64::from(self.own.asked) + self.peers.others.asked
     }
 
-    /// What is admitted of it a second at the nodes that are heard.
+    /// Amount per second that is admitted at this node and at the nodes that report.
     pub fn admitted(&self) -> f64 {
         f64::from(self.own.admitted) + self.peers.others.admitted
     }
 
-    /// Whether it asks for nearly as much as its limit, or for more.
+    /// Whether the tenant requests nearly as much as its limit, or more.
     pub fn is_near_limit(&self) -> bool {
         self.asked() >= self.limit.per_second * NEAR_SHARE
     }
--- a/crates/gateway/src/quotas/table.rs
+++ b/crates/gateway/src/quotas/table.rs
@@ -1,4 +1,4 @@
-//! The accounts of a node.
+//! Accounts of all tenants at a node.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,27 +8,28 @@
 
 use super::{Standing, TenantKey, UsageUpdate, tenant_key};
 
-/// A node tells of a tenant when it is asked for this share of its even part of the limit. What is
-/// then told by nobody sums up to at most this share of the limit; as most of it is traffic far from
-/// its limit, and busy tenants come in bursts that are told, the error is much smaller.
+/// A node reports a tenant's usage if the requested rate reaches this share of the node's equal
+/// part of the limit. The unreported usage of all nodes adds up to at most this share of the limit.
+/// The actual error is much smaller, because most unreported traffic is far from its limit, and
+/// busy tenants come in bursts that are reported.
 const MIN_REPORTED_SHARE: f64 = 0.25;
-/// Digits of a rate that are told: more would be noise.
+/// Number of significant digits of reported rates. More digits would only be noise.
 const REPORTED_DIGITS: i32 = 3;
 
-/// The accounts of a node, and what it knows of the others.
+/// Accounts of the tenants at a node, and the usage that other nodes report.
 #[derive(Debug)]
 pub struct Quotas {
     tolerance: Tolerance,
     started_at: Timestamp,
-    /// With the limits that they steer by.
+    /// Account of each tenant, with the limit that the account is controlled by.
     accounts: BTreeMap<TenantName, (Limit, Account)>,
     others: HashMap<TenantKey, Others>,
-    /// The other nodes, without what they use.
+    /// The other nodes, without their usage.
     peers: Peers,
 }
 
 impl Quotas {
-    /// A node without accounts; `now` is the start of its process.
+    /// Creates a node without accounts; `now` is the start of its process.
     pub fn new(tolerance: Tolerance, now: Timestamp) -> Self {
         Self {
             tolerance,
@@ -39,8 +40,9 @@
         }
     }
 
-    /// Takes what the other nodes use, how many they are, and which tenants have which limits; lets
-    /// time pass for all accounts, as what others use counts while it lasts.
+    /// Sets the other nodes, their usage and the tenants with their limits, and advances all
+    /// accounts to `now`. Usage of other nodes is charged over time, so the accounts must advance
+    /// even without requests.
     pub fn refresh<'a>(
         &mut self,
         peers: Peers,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Decides on a request of a tenant with this limit.
+    /// Decides on a request of the tenant.
     pub fn decide(
         &mut self,
         tenant: &TenantName,
@@ -73,21 +75,21 @@
         account.decide(limit, &peers, ask, now)
     }
 
-    /// Something that was admitted runs once more.
+    /// Charges for another run of a request that was admitted before.
     pub fn charge(&mut self, tenant: &TenantName, limit: &Limit, amount: f64, now: Timestamp) {
         let peers = self.peers_of(tenant);
         let (_, account) = self.account(tenant, limit, now);
         account.charge(&peers, amount, now);
     }
 
-    /// Something that was admitted has not run.
+    /// Refunds an admitted request that did not run.
     pub fn refund(&mut self, tenant: &TenantName, limit: &Limit, amount: f64, now: Timestamp) {
         let peers = self.peers_of(tenant);
         let (_, account) = self.account(tenant, limit, now);
         account.refund(&peers, amount, now);
     }
 
-    /// What this node tells of the tenants that come near their limits.
+    /// Usage of the tenants near their limits, to be sent to the other nodes.
     pub fn updates(&self, now: Timestamp) -> Vec<UsageUpdate> {
         let nodes = self.peers.nodes.max(1) as f64;
         let accounts = self.accounts.iter();
@@ -100,7 +102,7 @@
         used.collect()
     }
 
-    /// How the tenants stand that come near their limits.
+    /// The tenants near their limits.
     pub fn near_limits(&self, now: Timestamp) -> impl Iterator<Item = Standing<'_>> {
         let standings = self
             .accounts
--- a/crates/gateway/src/quotas/usage_update.rs
+++ b/crates/gateway/src/quotas/usage_update.rs
@@ -1,19 +1,20 @@
-//! News of what tenants use.
+//! Messages about the usage of tenants.
 
 use ryerouter_core::identity::TenantName;
 use ryerouter_core::quota::Usage;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stands for a tenant's name in messages, where each byte counts. Two tenants of a thousand share
-/// one with a chance of one in eight thousand; they are then held to their limits too strictly.
+/// Hash that represents a tenant's name in messages, where size matters. With a thousand tenants,
+/// two of them share a key with a probability of about one in eight thousand; their limits are then
+/// enforced too strictly.
 pub type TenantKey = u32;
 
-/// The key of a tenant.
+/// Computes the key of a tenant.
 pub fn tenant_key(tenant: &TenantName) -> TenantKey {
     xxh3_64(tenant.as_str().as_bytes()) as TenantKey
 }
 
-/// What a tenant uses at the sender, or at the nodes of its zone.
+/// Usage of a tenant at the sender, or at all nodes of the sender's zone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UsageUpdate(pub TenantKey, pub Usage);
--- a/crates/gateway/src/retry/mod.rs
+++ b/crates/gateway/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! How often requests may be sent again.
+//! Limits how often requests are retried.
 
 mod retry_settings;
 mod retry_window;
--- a/crates/gateway/src/retry/retry_settings.rs
+++ b/crates/gateway/src/retry/retry_settings.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// A budget of retries that all gateways of a deployment share.
+/// Retry budget shared by all gateways of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetrySettings {
-    /// Retries for each request.
+    /// Permitted retries per request.
     pub ratio: f64,
-    /// Retries in a window that need no requests.
+    /// Retries that are permitted in each window regardless of the number of requests.
     pub floor: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
--- a/crates/gateway/src/retry/retry_window.rs
+++ b/crates/gateway/src/retry/retry_window.rs
@@ -1,4 +1,4 @@
-//! The retry budget of one process.
+//! Retry budget of one process.
 
 use std::collections::VecDeque;
 
@@ -6,16 +6,19 @@
 
 use super::RetrySettings;
 
-/// Share of the whole budget that is used: nodes and judges cut windows at other moments.
+/// Share of the budget that this process uses. The rest is a margin, because an observer's windows
+/// may begin and end at other times than this node's.
 const USABLE_SHARE: f64 = 0.8;
 
-/// Share of that which may go to attempts that have not failed: the rest is left for those that have.
+/// Share of the usable budget for attempts that have not failed; the rest is reserved for retries
+/// of failed ones.
 const SPECULATIVE_SHARE: f64 = 0.5;
 
 /// Counts requests and retries of one pool in a sliding window.
 ///
-/// Invariant: in no window does this process spend more than its share of the floor and the ratio
-/// of the requests it took itself, so the sum over all processes keeps to the whole budget.
+/// Invariant: in no window does this process use more than its share of the floor plus the ratio of
+/// the requests it received itself. So the retries of all processes together stay within the
+/// budget.
 #[derive(Debug, Default)]
 pub struct RetryWindow {
     requests: VecDeque<Timestamp>,
@@ -23,19 +26,21 @@
 }
 
 impl RetryWindow {
-    /// A request arrived.
+    /// Records the arrival of a request.
     pub fn count_request(&mut self, settings: &RetrySettings, now: Timestamp) {
         self.expire(settings, now);
         self.requests.push_back(now);
     }
 
-    /// Takes one retry; `false` when none is left. `processes` share the floor.
+    /// Takes one retry; returns `false` if the budget is exhausted. `processes` is the number of
+    /// processes that share the floor.
     #[must_use]
     pub fn spend(&mut self, settings: &RetrySettings, processes: usize, now: Timestamp) -> bool {
         self.spend_share(1.0, settings, processes, now)
     }
 
-    /// The same for an attempt that has not failed and may only be slow: some are left for others.
+    /// Takes a retry for an attempt that has not failed but may only be slow. Returns `false`
+    /// earlier than [`Self::spend`], which leaves retries for failed attempts.
     #[must_use]
     pub fn spend_speculative(
         &mut self,
--- a/crates/gateway/src/topology/distance.rs
+++ b/crates/gateway/src/topology/distance.rs
@@ -1,17 +1,17 @@
-//! How far two zones are from each other.
+//! Distance between two zones.
 
 use derive_more::Display;
 
-/// How far two zones are from each other; the nearer is the less.
+/// Distance between two zones; nearer compares as less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Distance {
-    /// They are the same zone.
+    /// The same zone.
     #[display("zone")]
     Near,
-    /// They are two zones of one region.
+    /// Two zones of one region.
     #[display("region")]
     SameRegion,
-    /// They lie in two regions.
+    /// Zones of different regions.
     #[display("remote")]
     Remote,
 }
--- a/crates/gateway/src/topology/mod.rs
+++ b/crates/gateway/src/topology/mod.rs
@@ -1,7 +1,8 @@
-//! Where nodes, engines and callers stand, and how far that is from each other.
+//! Regions and zones of nodes, engines and callers, and the distances between them.
 //!
-//! Between zones a message takes a millisecond or two, between regions tens of them, and bytes and
-//! moves of KV cache cost several times as much; see docs/design/regions.md.
+//! A message between zones takes one or two milliseconds, between regions tens of milliseconds.
+//! Traffic and KV cache transfers between regions cost several times as much as well; see
+//! docs/design/regions.md.
 
 mod distance;
 mod zone_map;
--- a/crates/gateway/src/topology/zone_map.rs
+++ b/crates/gateway/src/topology/zone_map.rs
@@ -1,4 +1,4 @@
-//! Which zone lies in which region.
+//! The region of each zone.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,33 @@
 
 use super::Distance;
 
-/// Which zone lies in which region.
+/// The region of each zone.
 ///
-/// Without any, all zones lie in one region. Otherwise a zone that is not named lies in a region of
-/// its own: to take a far zone for a near one would cost every request its delay.
+/// If no zone is listed, all zones belong to one region. Otherwise an unlisted zone is a region of
+/// its own: treating a far zone as near would add the delay between regions to every request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Topology {
     regions: BTreeMap<ZoneName, RegionName>,
 }
 
-/// Zones that are not remote to each other.
+/// A set of zones that are not remote from each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Area<'a> {
-    /// All zones, where no region is known.
+    /// All zones, if no region is known.
     AllZones,
     /// The zones of a region.
     Region(&'a RegionName),
-    /// A zone whose region is not known.
+    /// A single zone whose region is not known.
     Zone(&'a ZoneName),
 }
 
 impl Topology {
-    /// Zones by the region that each lies in.
+    /// Creates a topology from the region of each zone.
     pub fn new(regions: BTreeMap<ZoneName, RegionName>) -> Self {
         Self { regions }
     }
 
-    /// How far two zones are from each other.
+    /// Distance between two zones.
     pub fn distance(&self, left: &ZoneName, right: &ZoneName) -> Distance {
         match left == right {
             true => Distance::Near,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The zones that a zone is not remote to.
+    /// The set of zones that are not remote from `zone`.
     pub fn area<'a>(&'a self, zone: &'a ZoneName) -> Area<'a> {
         match self.regions.get(zone) {
             Some(region) => Area::Region(region),
@@ -50,17 +50,17 @@
         }
     }
 
-    /// Whether a zone's region is known.
+    /// Whether the zone's region is known.
     pub fn knows(&self, zone: &ZoneName) -> bool {
         self.regions.contains_key(zone)
     }
 
-    /// Whether a zone lies in a region, as far as known.
+    /// Whether the zone is known to belong to the region.
     pub fn is_in(&self, zone: &ZoneName, region: &RegionName) -> bool {
         self.regions.get(zone) == Some(region)
     }
 
-    /// Whether there are several regions, so that distances between zones differ.
+    /// Whether there are at least two regions, so that distances between zones differ.
     pub fn has_regions(&self) -> bool {
         let mut regions = self.regions.values();
         let first = regions.next();
