--- a/crates/core/src/release/budget.rs
+++ b/crates/core/src/release/budget.rs
@@ -1,12 +1,13 @@
-//! The budget of one node.
+//! Bound on the requests that one node sends to the target version.
 
 use super::Settings;
 
-/// What one node has sent to a pool since it heard of a release, and how much of that to the target
-/// version.
+/// Requests that one node has sent to a pool since it learned of a release, and how many of them
+/// went to the target version.
 ///
-/// The bound holds over all nodes and for the whole release. It is a share of the requests, so it holds
-/// for the sum when each node keeps to it by itself, and no message has to arrive for that.
+/// The bound applies to all nodes together and to the whole release. It is mainly a share of the
+/// requests, so it holds for the sum if each node keeps to its own share. No message between nodes
+/// is needed for that.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Budget {
     all: u64,
@@ -14,29 +15,30 @@
 }
 
 impl Budget {
-    /// A request goes to an engine of the pool for the first time.
+    /// Records that a request is sent to an engine of the pool for the first time.
     pub fn count(&mut self) {
         self.all += 1;
     }
 
-    /// A request goes to the target version, for the first time or again.
+    /// Records that a request is sent to the target version, for the first time or as a retry.
     pub fn count_target(&mut self) {
         self.target += 1;
     }
 
-    /// Whether one more may go to the target version, where there are so many nodes.
+    /// Whether one more request may be sent to the target version. `nodes` is the number of nodes
+    /// that share the slack.
     pub fn allows_request(&self, settings: &Settings, nodes: usize) -> bool {
         let slack = settings.used_slack() / nodes.max(1) as f64;
         let allowed = self.all as f64 * settings.used_share() + slack;
         (self.target + 1) as f64 <= allowed
     }
 
-    /// Requests that went to the pool.
+    /// Number of requests sent to the pool.
     pub fn all(&self) -> u64 {
         self.all
     }
 
-    /// Those of them that went to the target version.
+    /// Number of attempts sent to the target version.
     pub fn target(&self) -> u64 {
         self.target
     }
--- a/crates/core/src/release/comparison.rs
+++ b/crates/core/src/release/comparison.rs
@@ -1,4 +1,4 @@
-//! Whether the target version does worse.
+//! Statistical comparison of the target version with the present one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,76 +8,86 @@
 use super::{Baseline, CountKey, Counts, EngineKey, Rollback, RouteKey, Stage, Tally};
 use crate::Timestamp;
 
-/// How much larger the share of bad answers of a worse version may be: some fail seldom, some always.
+/// Excess shares of bad answers that the target version is tested for: some versions fail rarely,
+/// some always.
 const EXCESSES: [f64; 3] = [0.06, 0.2, 0.5];
-/// A score from which the target version is taken to do worse. A plain sequential test errs in one of
-/// 160,000 cases at it; what engines do wrong by themselves makes that more. Measured over a hundred seeds a
-/// case: docs/design/releases.md.
+/// Score at which the target version is rolled back. A plain sequential test errs in one of 160,000
+/// cases at this score. Faults of single engines, unrelated to their software, make errors more
+/// frequent; docs/design/releases.md has the rates measured with a hundred seeds per case.
 const ROLLBACK_SCORE: f64 = 12.0;
-/// Requests move only while the score is below this; two bad answers among ten lie above it. In a pool with
-/// little traffic few answers come before requests are due to move, and of a version that fails one request
-/// in ten hardly more than two of those are bad.
+/// Requests move to the target version only while the score is below this. Two bad answers out of
+/// ten exceed it. In a pool with little traffic there are few answers before requests are due to
+/// move, and of a version that fails one request in ten hardly more than two of them are bad.
 const MAX_SHIFT_SCORE: f64 = 4.5;
-/// Requests move only when the answers are so much (the logarithm of twenty) more likely from a version that does
-/// as well as the present one than from one ..
+/// Requests move only if the logarithm of a likelihood ratio is at most this. The ratio compares a
+/// version whose share of bad answers is larger by [`ACCEPTED_EXCESS`] with one that does as well
+/// as the present version; the latter must be twenty times as likely.
 const MAX_ACCEPTED_SCORE: f64 = -3.0;
-/// .. of which one answer in so many more is bad: in a pool with little traffic few bad answers come of such a one
-/// during the trial, and without this half of them were completed (25 requests a second, a hundred seeds).
+/// Excess share of bad answers that must be ruled out before requests move. Pools with little
+/// traffic see few bad answers during the trial; without this condition half of such versions were
+/// completed (25 requests per second, a hundred seeds).
 const ACCEPTED_EXCESS: f64 = 0.09;
-/// Requests do not move while so many answers that came within this time were slow, and so much larger a share
-/// of them than of the present version's: of a version with 7 answers a second of which four in ten have become
-/// slow two seconds ago, most have come by then.
+/// Requests don't move while at least this many recent answers were slow and their share exceeds
+/// that of the present version by [`SLOW_EXCESS`].
 const MIN_SLOW_ANSWERS: u32 = 2;
+/// Excess share of slow answers; see [`MIN_SLOW_ANSWERS`].
 const SLOW_EXCESS: f64 = 0.15;
+/// Period of recent answers. Of a version with 7 answers per second, four in ten of which became slow
+/// two seconds ago, most slow ones have arrived by then.
 const RECENT_TIME: Duration = Duration::from_secs(2);
-/// With fewer answers in that time the last so many count: a pool with few engines sends its surges to the
-/// target version with seconds between them.
+/// Minimum number of answers to look at. If fewer came within [`RECENT_TIME`], older ones are
+/// included, because a pool with few engines sends requests to the target version in surges that
+/// are seconds apart.
 const MIN_RECENT_ANSWERS: u32 = 10;
-/// Answers to requests that were sent before the versions' shares changed have come by then, also slow ones:
-/// they take several times as long as answers usually do, which is some hundred milliseconds.
+/// Time after which requests sent before a change of the versions' shares have been answered. Slow
+/// answers take several times as long as usual ones, which take some hundred milliseconds.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(1_200);
-/// With so many engines of the target version at least three of them must do worse, and with fewer two: what
-/// one or two engines alone do wrong need not be their software's fault.
+/// From this number of target engines on, at least three of them must do worse before a rollback;
+/// with fewer engines, two. Faults of one or two engines need not be caused by their software.
 const MANY_ENGINES: usize = 6;
-/// An engine that crashes breaks off all that it runs, and nodes tell of that within this time of each other.
-/// Of the bad answers of one engine within it ..
+/// When an engine crashes, all of its requests fail, and nodes report these failures within this
+/// time of each other.
 const CRASH_SPAN: Duration = Duration::from_millis(300);
-/// .. so many count.
+/// Maximum number of bad answers of one engine that count within [`CRASH_SPAN`].
 const MAX_COUNTED_PER_CRASH: u32 = 2;
 
-/// Where the versions are compared, and how much worse the target version may be there.
+/// One of the sequential tests: a route, and an excess share of bad answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Scope {
-    /// One route, or all of them without.
+    /// The route; `None` for all routes together.
     route: Option<RouteKey>,
     /// Index into [`EXCESSES`].
     excess: usize,
 }
 
-/// Compares the answers of the target version with those of the present one as they come: on each route,
-/// since some versions fail on one only, and on all together.
+/// Compares the answers of the target version with those of the present one as they arrive. The
+/// comparison is made for each route, since some versions fail on a single one, and for all routes
+/// together.
 ///
-/// Slow answers are compared with those of the same moments, and count for nothing where there are none:
-/// what slows all engines down strikes many answers of both versions at once.
+/// Slow answers are compared with the present version's answers at the same time, and ignored if
+/// there are none. A cause that slows all engines down affects many answers of both versions at
+/// once.
 #[derive(Debug, Clone, Default)]
 pub struct Comparison {
     seen: Counts,
     baselines: BTreeMap<RouteKey, Baseline>,
-    /// The present version's answers of the last moments, which slow ones are compared with.
+    /// Recent answers of the present version, with which slow ones are compared.
     control: RecentAnswers,
-    /// The target version's answers of the last moments.
+    /// Recent answers of the target version.
     recent: RecentAnswers,
-    /// When the versions last got other shares of the requests than during the trial.
+    /// When the versions' shares of the requests last differed from those of the trial.
     shares_changed_at: Option<Timestamp>,
-    /// Answers of the target version, slow ones among them, until those around them have come.
+    /// Answers of the target version that include slow ones. They wait until the present version's
+    /// answers of the same time have arrived.
     pending: VecDeque<PendingAnswers>,
-    /// Answers of the target version that came while all engines were slow: they say nothing of it.
+    /// Answers of the target version that came while all engines were slow, or that had no answers
+    /// to be compared with. They are no evidence that the version is good.
     excluded: Counts,
     sums: BTreeMap<Scope, CumulativeSum>,
     bursts: BTreeMap<EngineKey, Burst>,
 }
 
-/// Answers that came at one moment.
+/// Answers of one route and engine that arrived at the same time.
 #[derive(Debug, Clone, Copy)]
 struct PendingAnswers {
     at: Timestamp,
@@ -85,7 +95,7 @@
     tally: Tally,
 }
 
-/// Bad answers of an engine that lie close together.
+/// Bad answers of an engine in short succession.
 #[derive(Debug, Clone, Copy)]
 struct Burst {
     begun_at: Timestamp,
@@ -93,11 +103,12 @@
 }
 
 impl Comparison {
-    /// Takes all answers so far, of which some were taken before.
+    /// Processes `total`, which contains all answers so far, including those of earlier calls.
     ///
-    /// Slow answers convict during the trial alone. Each later stage changes the share of the requests that
-    /// the present version gets; a slow answer comes late, when the answers around it are to requests of
-    /// another share, and in the end there are none. Slowness then leads back to the trial
+    /// Slow answers lead to a rollback only during the trial. Later stages change the share of
+    /// requests that the present version gets. A slow answer arrives late, when the answers around
+    /// it belong to requests sent under other shares, and in the last stage there are none to
+    /// compare with. In later stages, slowness leads back to the trial instead
     /// ([`Self::seems_slow`]).
     pub fn observe(&mut self, total: &Counts, stage: Stage, now: Timestamp) {
         if stage != Stage::Trial {
@@ -135,7 +146,8 @@
         }
     }
 
-    /// Takes answers with slow ones among them, now that those around them have come.
+    /// Counts answers that include slow ones, now that the present version's answers of the same
+    /// time have arrived.
     fn count_pending(&mut self, pending: &PendingAnswers, now: Timestamp) {
         let PendingAnswers { key, tally, .. } = *pending;
         match self.control.around(pending.at) {
@@ -149,16 +161,16 @@
         }
     }
 
-    /// Takes answers when there are none to compare slow ones with: only failures speak against the version,
-    /// and none of them shows it to be good.
+    /// Counts answers when there are none to compare slow ones with. Only failures count against
+    /// the version, and none of the answers count in its favour.
     fn count_without_control(&mut self, key: CountKey, tally: Tally, now: Timestamp) {
         self.excluded.add(key, tally);
         let failures = Tally { slow: 0, ..tally };
         self.count_answers(key, failures, 0.0, now);
     }
 
-    /// Takes answers of the target version that came while so large a share of the present version's was
-    /// slow.
+    /// Counts answers of the target version that arrived while the share `slow_share` of the
+    /// present version's answers was slow.
     fn count_answers(&mut self, key: CountKey, tally: Tally, slow_share: f64, now: Timestamp) {
         let bad = self.counted_bad(key.engine, tally.bad(), now);
         let good = tally.answers.saturating_sub(tally.bad());
@@ -166,7 +178,7 @@
         self.step(key, f64::from(bad), f64::from(good), expected);
     }
 
-    /// How many bad answers of an engine count.
+    /// Limits the bad answers of an engine that count, so that a crash counts only once.
     fn counted_bad(&mut self, engine: EngineKey, bad: u32, now: Timestamp) -> u32 {
         let fresh = Burst {
             begun_at: now,
@@ -195,7 +207,8 @@
         }
     }
 
-    /// Why the target version is taken to do worse; `engines` are those of it that take work.
+    /// Returns a rollback if the target version does worse. `engines` is the number of its engines
+    /// that accept requests.
     pub fn verdict(&self, engines: usize) -> Option<Rollback> {
         let (scope, score) = self.highest(engines)?;
         if score < ROLLBACK_SCORE {
@@ -216,18 +229,19 @@
         })
     }
 
-    /// How many engines must do worse before a version with this many engines is taken to do worse.
+    /// Number of engines that must do worse before a version with `engines` engines is rolled back.
     pub fn min_engines_for_rollback(engines: usize) -> usize {
         match engines {
-            // There is no other one to see it at.
+            // There is no second engine to confirm the fault.
             0 | 1 => engines,
             2..MANY_ENGINES => 2,
             _ => 3,
         }
     }
 
-    /// Whether the answers so far show that the target version is none that fails one request in ten more
-    /// than the present one. What one engine does wrong alone is left out, unless there is no other one.
+    /// Whether the answers so far rule out that the target version fails [`ACCEPTED_EXCESS`] (about
+    /// one request in ten) more often than the present one. The worst engine is left out, unless it
+    /// is the only one, because its faults need not be caused by the software.
     pub fn is_accepted(&self, engines: usize) -> bool {
         let mut scores: BTreeMap<EngineKey, f64> = BTreeMap::new();
         for (key, tally) in self.seen.iter().filter(|(key, _)| !key.is_present()) {
@@ -248,8 +262,9 @@
         known.unwrap_or_default().bad_rate()
     }
 
-    /// Whether hardly anything speaks against the target version: only then may it get more requests than
-    /// during the trial. What one engine does wrong alone is left out, unless there is no other one.
+    /// Whether there is so little evidence against the target version that it may get more requests
+    /// than during the trial. The worst engine is left out, unless it is the only one, because its
+    /// faults need not be caused by the software.
     pub fn allows_shift(&self, engines: usize) -> bool {
         let scores = self.sums.values().map(|sum| match engines {
             0 | 1 => sum.score(f64::INFINITY),
@@ -258,8 +273,9 @@
         scores.fold(0.0, f64::max) < MAX_SHIFT_SCORE
     }
 
-    /// Whether more of the target version's last answers were slow than of the present version's in all. They
-    /// may be the first of many, and whether all engines are slow is known only in the trial, and later.
+    /// Whether a larger share of the target version's recent answers was slow than of all answers
+    /// of the present version. These may be the first of many slow answers, and whether all engines
+    /// are slow can be determined only during the trial and with some delay.
     pub fn seems_slow(&self, now: Timestamp) -> bool {
         let recent = self
             .recent
@@ -268,7 +284,7 @@
         recent.slow >= MIN_SLOW_ANSWERS && slow_share(recent) >= slow_share(expected) + SLOW_EXCESS
     }
 
-    /// Sets all scores to zero: from now on only answers that are still to come count.
+    /// Resets all scores to zero, so that only future answers count.
     pub fn reset_scores(&mut self) {
         self.sums.clear();
         self.bursts.clear();
@@ -289,7 +305,8 @@
     f64::from(tally.slow) / f64::from(tally.answers.max(1))
 }
 
-/// How much more likely answers are if the share of bad ones is `worse` than if it is `expected`.
+/// Logarithm of the likelihood ratio of the answers: a rate of bad answers of `worse` against a
+/// rate of `expected`.
 fn log_ratio(bad: f64, good: f64, expected: f64, worse: f64) -> f64 {
     bad * (worse / expected).ln() + good * ((1.0 - worse) / (1.0 - expected)).ln()
 }
--- a/crates/core/src/release/count_key.rs
+++ b/crates/core/src/release/count_key.rs
@@ -1,31 +1,32 @@
-//! Which answers are counted together.
+//! Keys under which answers are counted.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stands for the name of a route.
+/// Hash of a route's name.
 pub type RouteKey = u32;
-/// Stands for the name of an engine of the target version, or for all engines of the present one.
+/// Hash of the name of an engine of the target version, or [`PRESENT`].
 pub type EngineKey = u32;
 
-/// All engines of the present version together.
+/// Stands for all engines of the present version together.
 pub const PRESENT: EngineKey = 0;
 
-/// The key of a route or of an engine; never [`PRESENT`].
+/// The key of a route or an engine; never [`PRESENT`].
 pub fn key_of(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) as u32).max(1)
 }
 
-/// Answers on one route, by one engine of the target version or by all of the present one.
+/// Identifies the answers on one route by one engine of the target version, or by all engines of
+/// the present version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CountKey {
     /// The route.
     pub route: RouteKey,
-    /// The engine.
+    /// The engine of the target version, or [`PRESENT`].
     pub engine: EngineKey,
 }
 
 impl CountKey {
-    /// Answers of the present version on a route.
+    /// Key of the present version's answers on a route.
     pub fn present(route: RouteKey) -> Self {
         Self {
             route,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the answers are the present version's.
+    /// Whether the answers are those of the present version.
     pub fn is_present(&self) -> bool {
         self.engine == PRESENT
     }
--- a/crates/core/src/release/counts.rs
+++ b/crates/core/src/release/counts.rs
@@ -1,4 +1,4 @@
-//! Answers of a release, counted.
+//! Counters of answers during a release.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 
 use super::{CountKey, EngineKey, Judgement, RouteKey, Tally};
 
-/// Answers of both versions since a release was heard of. They only rise, so a message that is lost
-/// takes nothing away.
+/// Counters of the answers of both versions since a node learned of the release. They only increase
+/// and every report carries all of them, so a lost report does no harm.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "Vec<(RouteKey, EngineKey, Tally)>",
@@ -16,51 +16,51 @@
 pub struct Counts(BTreeMap<CountKey, Tally>);
 
 impl Counts {
-    /// One more answer.
+    /// Counts one answer.
     pub fn note(&mut self, key: CountKey, judgement: Judgement) {
         self.0.entry(key).or_default().note(judgement);
     }
 
-    /// Adds answers.
+    /// Adds `tally` to the counter of `key`.
     pub fn add(&mut self, key: CountKey, tally: Tally) {
         self.0.entry(key).or_default().add(tally);
     }
 
-    /// Adds all of others.
+    /// Adds all counters of `other`.
     pub fn add_all(&mut self, other: &Self) {
         for (key, tally) in other.iter() {
             self.add(key, tally);
         }
     }
 
-    /// Takes a report of whoever reported these before.
+    /// Merges a report of the same reporter, taking the larger value of each counter.
     pub fn merge_max(&mut self, later: &Self) {
         for (key, tally) in later.iter() {
             self.0.entry(key).or_default().merge_max(tally);
         }
     }
 
-    /// The answers that are counted together.
+    /// The counter of `key`.
     pub fn of(&self, key: CountKey) -> Tally {
         self.0.get(&key).copied().unwrap_or_default()
     }
 
-    /// All of them, in the order of their cells.
+    /// All counters in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (CountKey, Tally)> {
         self.0.iter().map(|(key, tally)| (*key, *tally))
     }
 
-    /// Whether nothing was counted.
+    /// Whether there are no counters.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Answers of the present version.
+    /// Answers of the present version on all routes.
     pub fn present(&self) -> Tally {
         self.sum(|key| key.is_present())
     }
 
-    /// Answers of the target version.
+    /// Answers of the target version on all routes.
     pub fn target(&self) -> Tally {
         self.sum(|key| !key.is_present())
     }
@@ -70,7 +70,7 @@
         self.sum(|key| key.route == route && !key.is_present())
     }
 
-    /// How many answers came of each engine of the target version.
+    /// Number of answers from each engine of the target version.
     pub fn target_by_engine(&self) -> impl Iterator<Item = u32> {
         let mut sums: BTreeMap<EngineKey, u32> = BTreeMap::new();
         for (key, tally) in self.iter().filter(|(key, _)| !key.is_present()) {
--- a/crates/core/src/release/evidence.rs
+++ b/crates/core/src/release/evidence.rs
@@ -1,16 +1,18 @@
-//! What all nodes have seen.
+//! Answers seen by all nodes.
 
 use std::collections::BTreeMap;
 
 use super::{CountKey, Counts, Judgement};
 
-/// Who reports: one life of a node, or one that sums up many.
+/// Identifies a source of reports: one incarnation of a node, or one that reports the sum of many
+/// nodes.
 pub type Reporter = u64;
 
-/// Answers that this node and the others have seen in a release.
+/// Answers that this node and the others have seen during a release.
 ///
-/// Each reporter's figures only rise, so the sum does too: a node that is silent for a while, or is
-/// lost, is counted once and not anew, and what it saw before stays known.
+/// The counters of each reporter only increase, and so does their sum. A node that doesn't report
+/// for a while is not counted twice afterwards, and the answers reported by a lost node stay
+/// counted.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
     own: Counts,
@@ -18,22 +20,22 @@
 }
 
 impl Evidence {
-    /// This node saw an answer.
+    /// Counts an answer that this node saw.
     pub fn note(&mut self, key: CountKey, judgement: Judgement) {
         self.own.note(key, judgement);
     }
 
-    /// Another node reports all that it has seen.
+    /// Merges a report with all answers that another reporter has seen.
     pub fn merge_report(&mut self, reporter: Reporter, counts: &Counts) {
         self.reports.entry(reporter).or_default().merge_max(counts);
     }
 
-    /// What this node has seen itself.
+    /// Answers that this node has seen itself.
     pub fn own(&self) -> &Counts {
         &self.own
     }
 
-    /// What this node and the reporters of a kind have seen.
+    /// Answers seen by this node and by those reporters for which `is_counted` returns `true`.
     pub fn total_of(&self, is_counted: impl Fn(Reporter) -> bool) -> Counts {
         let mut total = self.own.clone();
         for (_, counts) in self
@@ -46,7 +48,7 @@
         total
     }
 
-    /// What all have seen.
+    /// Answers seen by this node and all reporters.
     pub fn total(&self) -> Counts {
         self.total_of(|_| true)
     }
--- a/crates/core/src/release/exposure.rs
+++ b/crates/core/src/release/exposure.rs
@@ -1,4 +1,4 @@
-//! How much the target version gets during the trial, and where.
+//! Share of requests and engines of the target version during the trial.
 
 use std::time::Duration;
 
@@ -6,29 +6,31 @@
 
 use super::Fleet;
 
-/// Requests go to a small pool's target version in surges, one in each period of this length. At a share of
-/// 0.085 a surge then lasts a quarter of a second or more, long enough to load an engine as it is in use.
+/// In a small pool, requests go to the target version in surges, one in each interval of this
+/// length. At a share of 0.085 a surge then lasts at least a quarter of a second, long enough to
+/// load an engine as in normal use.
 const SURGE_INTERVAL: Duration = Duration::from_secs(3);
-/// With so many engines under trial at once, one that fails by itself stands out; fewer take turns ..
+/// With at least this many engines under trial at once, a fault of a single engine stands out.
+/// Smaller numbers of engines are rotated at [`ROTATION_INTERVAL`].
 const MIN_ENGINES_WITHOUT_ROTATION: usize = 3;
-/// .. of this length: enough for an engine to answer some requests, and short enough for several engines to
-/// have answered after three turns.
+/// Time for which the same engines are under trial: long enough for an engine to answer some
+/// requests, and short enough for several engines to have answered after three rotations.
 const ROTATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Engines of the target version that are under trial: some of them in the order that all nodes know,
-/// beginning anywhere in it.
+/// Engines of the target version that are under trial: a range in the order of engines that all
+/// nodes agree on. The range wraps around at the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
-    /// The first of them.
+    /// Index of the first engine.
     #[serde(rename = "f")]
     pub first: u32,
-    /// How many.
+    /// Number of engines.
     #[serde(rename = "c")]
     pub count: u32,
 }
 
 impl Window {
-    /// Whether the engine at a place of so many is among them.
+    /// Whether the range contains the engine at index `place` of `engines` engines.
     pub fn holds(&self, place: usize, engines: usize) -> bool {
         if engines == 0 {
             return false;
@@ -38,21 +40,22 @@
     }
 }
 
-/// How much the target version gets now, and which of its engines.
+/// Share of the requests that the target version gets now, and the engines that get them.
 ///
-/// Some versions fail only under load, so its share goes to so few engines that each bears what an
-/// engine of the present version bears. Where the share is less than one engine's part, that part goes
-/// there for a share of the time.
+/// Some versions fail only under load. Therefore the share goes to so few engines that each has the
+/// load of an engine of the present version. If the share is too small even for one engine, the
+/// engine gets its full load for a part of the time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Exposure {
-    /// Share of the requests.
+    /// Share of new requests.
     pub share: f64,
-    /// The engines.
+    /// Engines that get the requests.
     pub window: Window,
 }
 
 impl Exposure {
-    /// During the trial, so long after it began; `share` is what the target version may get on average.
+    /// Computes the exposure at a time during the trial. `share` is the average share that the
+    /// target version may get, and `elapsed` is the time since the release began.
     pub fn during_trial(share: f64, fleet: &Fleet, elapsed: Duration) -> Self {
         let present = fleet.present.max(1) as f64;
         let engines = ((share * present) as usize).clamp(1, fleet.target.max(1));
@@ -65,12 +68,12 @@
             true => rotations_before(periods, surge_share) * engines,
             false => 0,
         };
-        // Each round begins one engine later: the last turn of a surge may be short, and would else always
-        // be that of the same engines.
+        // Each round starts one engine later. The last rotation of a surge may be short, and
+        // without this shift it would always fall on the same engines.
         let first = (passed + passed / targets) % targets;
         Self {
             share: match is_surge {
-                // A larger part than the share is bounded by the nodes' accounts.
+                // This may exceed the average share; the budgets of the nodes limit the total.
                 true => part.min(1.0),
                 false => 0.0,
             },
@@ -82,8 +85,8 @@
     }
 }
 
-/// How many turns have begun before the present one, after so many surge periods of which a surge takes
-/// `surge_share`.
+/// Number of rotations completed after `periods` surge intervals, where a surge takes the share
+/// `surge_share` of each interval.
 fn rotations_before(periods: f64, surge_share: f64) -> usize {
     let rotations_per_interval = SURGE_INTERVAL.as_secs_f64() / ROTATION_INTERVAL.as_secs_f64();
     let rotations_per_surge = (surge_share * rotations_per_interval).ceil().max(1.0);
--- a/crates/core/src/release/fleet.rs
+++ b/crates/core/src/release/fleet.rs
@@ -1,18 +1,18 @@
-//! The engines of a release.
+//! Engines of a pool during a release.
 
 use std::time::Duration;
 
-/// The engines of a release, as the director knows them.
+/// Engines of a pool during a release, as known to the director.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fleet {
-    /// Engines of the present version that take work.
+    /// Number of engines of the present version that accept requests.
     pub present: usize,
-    /// Engines of the target version that take work.
+    /// Number of engines of the target version that accept requests.
     pub target: usize,
-    /// Requests that run at engines of the present version, as far as nodes have told.
+    /// Number of requests in progress on engines of the present version, as far as reported.
     pub running_at_present: u32,
-    /// Whether a node that may still have requests there is not heard.
+    /// Whether a node that may still have requests on these engines does not report.
     pub has_silent_nodes: bool,
-    /// No request of the pool lasts longer.
+    /// Maximum duration of a request of the pool.
     pub longest_request: Duration,
 }
--- a/crates/core/src/release/grant.rs
+++ b/crates/core/src/release/grant.rs
@@ -1,4 +1,4 @@
-//! What the director of a release allows the nodes.
+//! Permission that the director of a release gives to the nodes.
 
 use std::time::Duration;
 
@@ -6,39 +6,44 @@
 
 use super::{Order, Stage, Window};
 
-/// What the director of a release allows the nodes, for a short time, unless the stage is final.
+/// Permission that the director of a release gives to the nodes. It is valid for a short time, or
+/// without limit if the stage is final.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The order.
+    /// The order of the release.
     #[serde(rename = "o")]
     pub order: Order,
-    /// Revision of the source at which the order stood so: the higher one of two orders is in force.
+    /// Revision of the source that contains the order; of two different orders, the one with the
+    /// higher revision is in force.
     #[serde(rename = "v")]
     pub revision: u64,
     /// The stage of the release.
     #[serde(rename = "s")]
     pub stage: Stage,
-    /// Share of new requests that goes to the target version.
+    /// Share of new requests that go to the target version.
     #[serde(rename = "x", default)]
     pub share: f64,
-    /// Engines of the target version that it goes to; all without.
+    /// Engines of the target version that get these requests; all of them if `None`.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub window: Option<Window>,
     /// Fencing number of the director's lease.
     #[serde(rename = "f")]
     pub fence: u64,
-    /// Rises with each grant of one holder of the lease.
+    /// Number of the grant; increases with each grant under the same lease.
     #[serde(rename = "n")]
     pub number: u64,
-    /// How long the release had gone on.
+    /// Time since the release began.
     #[serde(rename = "e")]
     pub elapsed: Duration,
 }
 
 impl Grant {
-    /// Whether this replaces another one of the same pool, in whatever order they arrive. A release that
-    /// has come to its end stays there, unless there is another order, or the source holds another end: a
-    /// late record of one director may meet the verdict of the next, and the operator goes by the record.
+    /// Whether this grant replaces `other` of the same pool, regardless of the order in which they
+    /// arrive.
+    ///
+    /// A final stage is replaced only by a different order or by another final stage recorded later
+    /// in the source. The latter happens when a delayed record of one director conflicts with the
+    /// verdict of the next; the record is what the operator sees, so it decides.
     pub fn supersedes(&self, other: &Self) -> bool {
         if self.order != other.order {
             return self.revision > other.revision;
--- a/crates/core/src/release/judgement.rs
+++ b/crates/core/src/release/judgement.rs
@@ -1,12 +1,12 @@
-//! How an answer is judged.
+//! Judgement of single answers.
 
-/// How an answer of an engine is judged.
+/// Judgement of an engine's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Judgement {
-    /// It was whole, and in the time that the present version takes.
+    /// The answer was complete and took no longer than the present version's answers.
     Good,
-    /// It was an error of the engine's own, broke off, or was not an answer.
+    /// The answer was an error of the engine itself, was incomplete or was invalid.
     Failed,
-    /// It took several times as long as the present version's answers.
+    /// The answer took several times as long as those of the present version.
     Slow,
 }
--- a/crates/core/src/release/mod.rs
+++ b/crates/core/src/release/mod.rs
@@ -1,14 +1,17 @@
-//! Releases: moving a pool's engines to a new version of their software.
+//! Releases: moving a pool's requests to engines with a new version of their software.
 //!
-//! An operator orders a release. The engines of the target version start beside those of the present
-//! one, and requests move over to them: a bounded share first, on few engines, whose answers are
-//! compared with those of the present version on the same routes at the same time. A version that
-//! does worse is rolled back; one that does not takes all new requests, and when nothing runs at the
-//! present version's engines any more the release is completed. `docs/design/releases.md` tells who
-//! decides and what each failure leads to.
+//! An operator orders a release. Engines of the target version start next to those of the present
+//! version, and requests move over to them. At first, a bounded share of the requests goes to a few
+//! engines of the target version, whose answers are compared with those of the present version on
+//! the same routes at the same time. If the target version does worse, it is rolled back. Otherwise
+//! it gets all new requests, and the release is completed when no requests are left on the engines
+//! of the present version.
 //!
-//! A release is not a rollout of weights ([`crate::order`]): weights change within an engine, software
-//! changes with the engine.
+//! One node, the director, holds the lease for the release, decides on its stages and sends grants
+//! to the other nodes. `docs/design/releases.md` describes this and the effects of each failure.
+//!
+//! A release differs from a rollout of weights ([`crate::order`]): weights are replaced within a
+//! running engine, while new software needs a new engine process.
 
 mod baseline;
 mod budget;
--- a/crates/core/src/release/order.rs
+++ b/crates/core/src/release/order.rs
@@ -1,4 +1,4 @@
-//! What an operator orders.
+//! Order of a release.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 
 use crate::identity::PoolName;
 
-/// Version of the software that an engine runs, as operators name it.
+/// Version of an engine's software, as named by operators.
 pub type SoftwareVersion = String;
 
-/// A pool's requests are to move to engines of another version.
+/// An operator's order to move a pool's requests to engines of another version.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Order {
     /// The pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
-    /// The version.
+    /// Version to which the requests move.
     #[serde(rename = "t")]
     pub target: SoftwareVersion,
-    /// The time over which the requests move.
+    /// Time within which the requests should move.
     #[serde(rename = "r")]
     pub ramp: Duration,
-    /// Revision of the source at which the order was made: one that was deleted and given again is
-    /// another order.
+    /// Revision of the source at which the order was created. An order that was deleted and created
+    /// again is a different order.
     #[serde(rename = "m")]
     pub made: u64,
 }
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -1,4 +1,4 @@
-//! The stages of a release, as its director takes it through them.
+//! State machine of a release, run by its director.
 
 use std::time::Duration;
 
@@ -7,47 +7,51 @@
 };
 use crate::Timestamp;
 
-/// Part of the ramp that the trial takes: a version may fail only after a while, and what is left is
-/// enough for all requests to move and for those that run to end.
+/// Share of the ramp that the trial takes. A version may fail only after a while, and the rest of
+/// the ramp must suffice for all requests to move and for those in progress to end.
 const TRIAL_SHARE: f64 = 0.6;
-/// The trial goes on for so long after another director has taken it up, or after requests that had begun to
-/// move went back: the target version then answered little or nothing of late, and what is known of it may be
-/// out of date. That is what grants take to arrive, answers to come and news of them to be told.
+/// Minimum duration of the trial after a change of director, or after requests had begun to move
+/// and went back. In both cases the target version has answered few requests recently, so the
+/// counts may be out of date. The time suffices for grants and answers to arrive and for the
+/// answers to be reported.
 const MIN_TRIAL_TIME: Duration = Duration::from_secs(2);
-/// The pool's traffic is known roughly after so long: answers take some hundred milliseconds.
+/// Time after which the pool's traffic can be estimated; answers take some hundred milliseconds.
 const TRAFFIC_MEASURING_TIME: Duration = Duration::from_secs(2);
-/// In a pool with few requests the slack is a large part of what the target version may get, and without it
-/// there would be too few answers to tell a bad version by. The slack adds at most this to the share of the
-/// requests that the target version gets, so that it is spread over the trial.
+/// Maximum share of requests that the slack adds to the target version's share. In a pool with few
+/// requests, the slack is a large part of what the target version may get, and needed for enough
+/// answers to detect a bad version. The limit spreads it over the trial.
 const MAX_SLACK_SHARE: f64 = 0.15;
-/// Shares of new requests, one after the other, before all go to the target version. Few: while they
-/// last, a version that has become bad gets more than in the trial.
+/// Shares of new requests that the target version gets in sequence before it gets all. The steps
+/// are few, because while they last a version that has become bad gets more requests than in the
+/// trial.
 const SHIFT_SHARES: [f64; 2] = [0.3, 0.6];
-/// Time at each share: what a grant takes to reach every node, and some answers after that.
+/// Duration of each step: time for a grant to reach every node, and for some answers after that.
 const SHIFT_STEP_TIME: Duration = Duration::from_millis(700);
-/// Answers of the target version without which it is not taken to do as well: of a version that fails one
-/// request in ten, four are bad by then.
+/// Minimum number of answers of the target version before requests move. Of a version that fails
+/// one request in ten, four answers are bad by then.
 const MIN_ANSWERS: u32 = 40;
-/// They must come from as many engines as it takes to convict a version, so many from each: what one of them
-/// does wrong alone is held against none.
+/// Minimum number of answers per engine. At least as many engines as are needed for a rollback must
+/// reach it, because faults of a single engine don't count against the version.
 const MIN_ANSWERS_PER_ENGINE: u32 = 5;
-/// With fewer answers of the present version there is no traffic to speak of.
+/// Number of answers of the present version below which the pool is considered to have no traffic.
 const MIN_PRESENT_ANSWERS: u32 = 10;
-/// On a route with so many answers of the present version ..
+/// Number of answers of the present version that makes a route busy.
 const BUSY_ROUTE_ANSWERS: u32 = 100;
-/// .. so many of the target version are needed, or this share of those, if that is less.
+/// Number of answers of the target version that suffices on a busy route.
 const MAX_ANSWERS_NEEDED_PER_ROUTE: u32 = 10;
+/// Share of the present version's answers that suffices too, if it is smaller.
 const MIN_SHARE_PER_ROUTE: f64 = 0.02;
-/// Engines of the target version, for each of the present one, that can bear its requests.
+/// Minimum ratio of target engines to present engines with which the target version can serve all
+/// requests.
 const MIN_ENGINE_RATIO: f64 = 0.8;
-/// The release is completed once nothing was seen to run at the present version's engines for so long: news
-/// of what runs are up to a second old.
+/// The release is completed when no request has been seen on engines of the present version for
+/// this time. Reports of requests in progress are up to one second old.
 const IDLE_TIME: Duration = Duration::from_millis(1_200);
-/// After so many ramps a version that was not seen to do as well is rolled back: engines that never came,
-/// or that answer nothing.
+/// A version that has not passed the trial after this many ramps is rolled back. Its engines may
+/// not have started, or may not answer.
 const MAX_RAMPS: u32 = 3;
 
-/// The stages of a release, as its director takes it through them.
+/// State machine of a release, run by its director.
 #[derive(Debug, Clone)]
 pub struct Progress {
     order: Order,
@@ -62,7 +66,7 @@
 }
 
 impl Progress {
-    /// A release that begins.
+    /// Starts a release.
     pub fn new(order: Order, settings: Settings, now: Timestamp) -> Self {
         Self {
             order,
@@ -80,8 +84,9 @@
         }
     }
 
-    /// A release that another director has begun: `grant` was the last heard of it, `age` ago. Requests
-    /// that had begun to move start again from the trial, which costs time and no caller anything.
+    /// Resumes a release started by another director. `grant` is its last known grant, received
+    /// `age` ago. If requests had begun to move, the release continues with the trial; this takes
+    /// time but does not affect callers.
     pub fn resume(grant: &Grant, age: Duration, settings: Settings, now: Timestamp) -> Self {
         let begun_at = now.before(age).before(grant.elapsed);
         let mut trial = Self::new(grant.order.clone(), settings, now);
@@ -92,8 +97,9 @@
         trial
     }
 
-    /// Goes on with what a node held against the target version before it directs the release. Taken anew its
-    /// answers would all be of one moment, like those of crashes, of which few count.
+    /// Sets the comparison that this node maintained before it became the director. If the
+    /// comparison processed all answers again, they would seem to arrive at one time, as in a
+    /// crash, and few of them would count.
     pub fn with_comparison(self, comparison: Comparison, rollback: Option<Rollback>) -> Self {
         Self {
             comparison,
@@ -102,27 +108,27 @@
         }
     }
 
-    /// The order.
+    /// The order of the release.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// How far it has come.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Why it was rolled back.
+    /// Reason for the rollback, if there is one.
     pub fn rollback(&self) -> Option<&Rollback> {
         self.rollback.as_ref()
     }
 
-    /// How long it has gone on.
+    /// Time since the release began.
     pub fn elapsed(&self, now: Timestamp) -> Duration {
         now.since(self.begun_at)
     }
 
-    /// Takes the release on by what is known now; tells whether its stage has changed.
+    /// Updates the stage from what is known now; returns `true` if it has changed.
     pub fn advance(&mut self, fleet: &Fleet, total: &Counts, now: Timestamp) -> bool {
         let before = self.stage;
         if before.is_final() {
@@ -146,7 +152,7 @@
         next != before
     }
 
-    /// The operator has taken the order back.
+    /// Handles the removal of the order by the operator.
     pub fn withdraw(&mut self) {
         if !self.stage.is_final() {
             self.stage = Stage::Withdrawn;
@@ -154,7 +160,7 @@
         }
     }
 
-    /// What nodes may do until the next grant.
+    /// What nodes may do until they receive the next grant.
     pub fn grant(&self, revision: u64, fence: u64, number: u64, now: Timestamp) -> Grant {
         let is_trial = self.stage == Stage::Trial;
         Grant {
@@ -216,10 +222,11 @@
         if !is_idle {
             *idle_since = now;
         }
-        // A node that is not heard may have requests there until they end by themselves.
+        // A node that doesn't report may still have requests there, but they end within this time.
         let has_timed_out = settled >= fleet.longest_request + self.settings.grant_lifetime();
         let is_idle_for_long = now.since(*idle_since) >= IDLE_TIME;
-        // Nodes that have not heard of the last stage send nothing more once their grants have run out.
+        // Nodes that missed the last stage send no more requests to the present version once their
+        // grants have expired.
         let has_arrived = settled >= IDLE_TIME;
         match (is_idle_for_long && has_arrived) || has_timed_out {
             true => Stage::Completed,
@@ -227,7 +234,7 @@
         }
     }
 
-    /// The part of the slack that is needed for enough answers, as a share of the requests that come during
+    /// Part of the slack needed to get enough answers, as a share of the requests expected during
     /// the trial.
     fn slack_share(&self, total: &Counts, now: Timestamp) -> f64 {
         let elapsed = self.elapsed(now);
@@ -265,15 +272,16 @@
     }
 }
 
-/// Whether there are enough requests for a bad version to harm any.
+/// Whether there are enough requests that a bad version could harm any.
 fn has_traffic(total: &Counts) -> bool {
     total.present().answers >= MIN_PRESENT_ANSWERS
 }
 
-/// Whether the target version has answered enough: in all, from enough engines, and on every busy route.
+/// Whether the target version has given enough answers: in total, from enough engines, and on every
+/// busy route.
 fn has_enough_answers(total: &Counts, engines: usize) -> bool {
     let present = total.present();
-    // Where there is hardly any traffic, a bad version can harm hardly any requests.
+    // With hardly any traffic, a bad version can harm hardly any requests.
     if !has_traffic(total) {
         return true;
     }
@@ -295,7 +303,7 @@
     })
 }
 
-/// Whether the engines of the target version can take all requests of the pool.
+/// Whether the engines of the target version can serve all requests of the pool.
 fn has_capacity_for_all(fleet: &Fleet) -> bool {
     fleet.target > 0 && fleet.target as f64 >= fleet.present as f64 * MIN_ENGINE_RATIO
 }
--- a/crates/core/src/release/recent_answers.rs
+++ b/crates/core/src/release/recent_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the last moments.
+//! Recent answers of one version.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,40 +6,43 @@
 use super::Tally;
 use crate::Timestamp;
 
-/// An answer is compared with those that came within this time before and after it. What makes every
-/// engine slow (a busy machine, a burst, a slow link) lasts for longer; a quiet pool of 25 requests a
-/// second has some twenty answers in it.
+/// An answer is compared with those that came within this time before and after it. Causes that
+/// slow all engines down (a busy machine, a burst, a slow link) last longer. In a quiet pool of 25
+/// requests per second, some twenty answers fall into this period.
 pub(super) const COMPARISON_RADIUS: Duration = Duration::from_millis(500);
-/// Answers are kept for so long, and the last so many times that some came for longer.
+/// Time for which answers are kept.
 const RETENTION: Duration = Duration::from_secs(2);
+/// Number of entries that are kept even after that time.
 const MIN_RETAINED: usize = 20;
-/// With fewer answers before or after it there is nothing to compare with.
+/// Minimum number of answers before and after an answer for a comparison.
 const MIN_ANSWERS: u32 = 3;
-/// One slow answer among a few is no slowness of all.
+/// A single slow answer among a few doesn't mean that all engines are slow.
 const MIN_SLOW_ANSWERS: u32 = 2;
-/// Above this share nearly all answers are slow, whatever the version: such moments tell nothing of it.
+/// Above this share of slow answers nearly all answers are slow whatever the version, so they are
+/// no evidence about it.
 const MAX_SLOW_SHARE: f64 = 0.8;
 
-/// What the present version's answers of the same moments say of slow ones.
+/// Share of slow answers of the present version around a point in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Control {
-    /// There are too few of them, as when nearly all requests go to the target version.
+    /// There are too few answers, for instance because nearly all requests go to the target
+    /// version.
     Missing,
-    /// Nearly all of them are slow.
+    /// Nearly all answers are slow.
     AllSlow,
-    /// So large a share of them is slow.
+    /// This share of the answers is slow.
     SlowShare(f64),
 }
 
-/// A version's answers of the last moments. Slow answers come in bunches, over all engines at once, so only
-/// those of the same moments can tell whether a version is slow by itself.
+/// Recent answers of one version. Slow answers come in groups from all engines at once, so only
+/// answers of the same time can show whether a version itself is slow.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RecentAnswers {
     answers: VecDeque<(Timestamp, Tally)>,
 }
 
 impl RecentAnswers {
-    /// More answers.
+    /// Adds answers that arrived at `now`.
     pub(super) fn note(&mut self, tally: Tally, now: Timestamp) {
         if tally.answers > 0 {
             self.answers.push_back((now, tally));
@@ -52,7 +55,8 @@
         }
     }
 
-    /// The answers that came since then, or the last so many where fewer came.
+    /// Answers that came at `from` or later; if they are fewer than `least`, earlier ones are
+    /// included.
     pub(super) fn since(&self, from: Timestamp, least: u32) -> Tally {
         let mut sum = Tally::default();
         for (at, tally) in self.answers.iter().rev() {
@@ -64,8 +68,9 @@
         sum
     }
 
-    /// What the answers around a moment, which are the present version's, say of slow ones then. A slowness of all
-    /// may begin or end at that moment, so of those before and those after it the slower ones count.
+    /// Describes the slow answers around `moment`. The receiver holds the answers of the present
+    /// version. A general slowness may begin or end at that moment, so the larger share of slow
+    /// answers of the times before and after it is used.
     pub(super) fn around(&self, moment: Timestamp) -> Control {
         let within = |from, to| {
             let answers = self.answers.iter();
@@ -91,7 +96,7 @@
     sum
 }
 
-/// Share of answers that were slow, and by as much more as a share of so few usually errs.
+/// Share of answers that were slow, plus one standard error of the share.
 fn slow_share(tally: Tally) -> f64 {
     if tally.slow < MIN_SLOW_ANSWERS {
         return 0.0;
--- a/crates/core/src/release/record.rs
+++ b/crates/core/src/release/record.rs
@@ -1,28 +1,28 @@
-//! What is recorded of an order.
+//! Recorded outcome of an order.
 
 use derive_more::Display;
 
 use super::SoftwareVersion;
 
-/// How far a release has come, as the operator reads it.
+/// Outcome of a release, as shown to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Outcome {
-    /// It goes on.
+    /// The release is in progress.
     #[display("running")]
     Running,
     /// All requests have moved.
     #[display("completed")]
     Completed,
-    /// The target version gets nothing any more.
+    /// The target version gets no more requests.
     #[display("rolled_back")]
     RolledBack,
 }
 
-/// What is recorded of an order beside it: it outlives every node.
+/// Record stored next to an order in the source, where it outlives the nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// The version that the record is about, which may be that of an order before.
+    /// The target version of the recorded release, which may belong to an earlier order.
     pub target: SoftwareVersion,
-    /// How far it has come.
+    /// Outcome of the release.
     pub outcome: Outcome,
 }
--- a/crates/core/src/release/rollback.rs
+++ b/crates/core/src/release/rollback.rs
@@ -1,10 +1,10 @@
-//! Why a release is rolled back.
+//! Reason for a rollback.
 
 use derive_more::Display;
 
 use super::{RouteKey, Tally};
 
-/// Why a release is rolled back, with the figures that decided it.
+/// Reason for a rollback, with the figures that led to it.
 #[derive(Debug, Clone, PartialEq, Display)]
 pub enum Rollback {
     /// The target version does worse than the present one.
@@ -14,21 +14,22 @@
         target.failed, target.slow, target.answers, present.failed, present.slow, present.answers
     )]
     Worse {
-        /// The route where it does; all of them without.
+        /// The route on which it does worse; `None` for all routes together.
         route: Option<RouteKey>,
-        /// Its answers.
+        /// Answers of the target version.
         target: Tally,
-        /// The present version's.
+        /// Answers of the present version.
         present: Tally,
-        /// Logarithm of how much more likely the answers are if it is worse.
+        /// Logarithm of the likelihood ratio of the answers: a worse version against an equally
+        /// good one.
         score: f64,
     },
-    /// It was not seen to do as well in time.
+    /// The target version was not shown to be as good within the time limit.
     #[display("unproven: {} answers of the target version in {waited:?}", target.answers)]
     Unproven {
-        /// Its answers.
+        /// Answers of the target version.
         target: Tally,
-        /// How long the trial had gone on.
+        /// Time since the release began.
         waited: std::time::Duration,
     },
 }
--- a/crates/core/src/release/settings.rs
+++ b/crates/core/src/release/settings.rs
@@ -1,40 +1,42 @@
-//! How releases are bounded.
+//! Bounds of releases.
 
 use std::time::Duration;
 
-/// Part of the time within which nothing may reach a failing version that a grant lasts: the rest is
-/// for the verdict, and for the news of it to arrive.
+/// Lifetime of a grant as a share of [`Settings::rollback_within`]. The rest of that time is for
+/// reaching a verdict and for sending it to the nodes.
 const GRANT_LIFETIME_SHARE: f64 = 0.4;
 
-/// Part of the share that nodes use. The rest covers what they can't count: requests that they forget
-/// with a restart, and engines that count a repeated request once.
+/// Share of `exposure_share` that nodes use. The rest covers what they can't count: requests
+/// forgotten in a restart of the node, and retried requests that engines count only once.
 const USED_SHARE: f64 = 0.85;
-/// Part of the slack that nodes use: one that is killed and started again uses its part of it anew.
+/// Share of `exposure_slack` that nodes use. The rest is a margin, because a node that is killed
+/// and restarted uses its part of the slack again.
 const USED_SLACK: f64 = 0.4;
 
-/// How releases are bounded, as the operator sets it.
+/// Bounds of releases, as set by the operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Share of a pool's requests that a version which turns out bad may have got in all.
+    /// Maximum share of a pool's requests that a bad version may have got in total.
     pub exposure_share: f64,
-    /// Requests that it may have got on top.
+    /// Number of requests that a bad version may have got in addition.
     pub exposure_slack: f64,
-    /// A version whose answers are bad gets nothing more after so long.
+    /// Time within which a version with bad answers must get no more requests.
     pub rollback_within: Duration,
 }
 
 impl Settings {
-    /// Share of a pool's requests that nodes let a version under trial have.
+    /// Share of a pool's requests that nodes send to a version under trial.
     pub(super) fn used_share(&self) -> f64 {
         self.exposure_share * USED_SHARE
     }
 
-    /// Requests on top that all nodes together let it have.
+    /// Number of requests that all nodes together send in addition.
     pub(super) fn used_slack(&self) -> f64 {
         self.exposure_slack * USED_SLACK
     }
 
-    /// A node that hears nothing of the director for so long sends nothing to the target version.
+    /// Lifetime of a grant. A node that has received no grant for this time sends no requests to
+    /// the target version.
     pub fn grant_lifetime(&self) -> Duration {
         self.rollback_within.mul_f64(GRANT_LIFETIME_SHARE)
     }
--- a/crates/core/src/release/stage.rs
+++ b/crates/core/src/release/stage.rs
@@ -5,7 +5,7 @@
 
 use super::Outcome;
 
-/// Stages of a release, in their order; the last three are final.
+/// Stages of a release in order; the last three are final.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -14,35 +14,36 @@
     #[display("trial")]
     #[serde(rename = "t")]
     Trial,
-    /// More and more new requests go to the target version.
+    /// The target version gets an increasing share of new requests.
     #[display("shifting")]
     #[serde(rename = "s")]
     Shifting,
-    /// All new requests go there, and what runs at the present version's engines ends.
+    /// The target version gets all new requests, while requests on engines of the present version
+    /// end.
     #[display("settling")]
     #[serde(rename = "e")]
     Settling,
-    /// The present version's engines may stop.
+    /// The engines of the present version may stop.
     #[display("completed")]
     #[serde(rename = "c")]
     Completed,
-    /// The target version gets nothing any more.
+    /// The target version gets no more requests.
     #[display("rolled_back")]
     #[serde(rename = "b")]
     RolledBack,
-    /// The operator has taken the order back before it had come to an end.
+    /// The operator has removed the order before the release ended.
     #[display("withdrawn")]
     #[serde(rename = "w")]
     Withdrawn,
 }
 
 impl Stage {
-    /// Whether nothing follows.
+    /// Whether no other stage follows.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack | Self::Withdrawn)
     }
 
-    /// What is recorded of it; nothing is when there is no order any more.
+    /// The outcome to record; `None` if the order no longer exists.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::Trial | Self::Shifting | Self::Settling => Some(Outcome::Running),
--- a/crates/core/src/release/tally.rs
+++ b/crates/core/src/release/tally.rs
@@ -1,25 +1,25 @@
-//! Answers, counted.
+//! Counter of answers.
 
 use serde::{Deserialize, Serialize};
 
 use super::Judgement;
 
-/// Answers, and how many of them were bad.
+/// Number of answers, and how many of them were bad.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All of them.
+    /// All answers.
     #[serde(rename = "a")]
     pub answers: u32,
-    /// Those that failed.
+    /// Answers that failed.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failed: u32,
-    /// Those that were slow.
+    /// Answers that were slow.
     #[serde(rename = "s", default, skip_serializing_if = "is_zero")]
     pub slow: u32,
 }
 
 impl Tally {
-    /// One more.
+    /// Counts one answer.
     pub fn note(&mut self, judgement: Judgement) {
         self.answers += 1;
         match judgement {
@@ -29,26 +29,26 @@
         }
     }
 
-    /// Those that were bad in either way.
+    /// Number of answers that failed or were slow.
     pub fn bad(&self) -> u32 {
         self.failed + self.slow
     }
 
-    /// Adds others.
+    /// Adds `other` to the counter.
     pub fn add(&mut self, other: Self) {
         self.answers = self.answers.saturating_add(other.answers);
         self.failed = self.failed.saturating_add(other.failed);
         self.slow = self.slow.saturating_add(other.slow);
     }
 
-    /// The larger figure of each: of two reports by one reporter the later one.
+    /// Takes the larger value of each field. Of two reports by one reporter, this is the later one.
     pub fn merge_max(&mut self, other: Self) {
         self.answers = self.answers.max(other.answers);
         self.failed = self.failed.max(other.failed);
         self.slow = self.slow.max(other.slow);
     }
 
-    /// What has come since an earlier count.
+    /// Answers counted since `earlier`.
     pub fn since(&self, earlier: Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(earlier.answers),
@@ -58,7 +58,7 @@
     }
 }
 
-// The signature is that of the serializer's condition.
+// `skip_serializing_if` requires a function that takes a reference.
 #[expect(clippy::trivially_copy_pass_by_ref)]
 fn is_zero(count: &u32) -> bool {
     *count == 0
