--- a/crates/core/src/release/comparison.rs
+++ b/crates/core/src/release/comparison.rs
@@ -239,9 +239,9 @@
         }
     }
 
-    /// Whether the answers so far rule out that the target version fails [`ACCEPTED_EXCESS`] (about
-    /// one request in ten) more often than the present one. The worst engine is left out, unless it
-    /// is the only one, because its faults need not be caused by the software.
+    /// Whether the answers so far rule out that the target version fails about one request in ten
+    /// (`ACCEPTED_EXCESS`) more than the present one. The worst engine is left out, unless it is the
+    /// only one, because its faults need not be caused by the software.
     pub fn is_accepted(&self, engines: usize) -> bool {
         let mut scores: BTreeMap<EngineKey, f64> = BTreeMap::new();
         for (key, tally) in self.seen.iter().filter(|(key, _)| !key.is_present()) {
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -37,9 +37,10 @@
 const MIN_PRESENT_ANSWERS: u32 = 10;
 /// Number of answers of the present version that makes a route busy.
 const BUSY_ROUTE_ANSWERS: u32 = 100;
-/// Number of answers of the target version that suffices on a busy route.
+/// Number of answers of the target version that always suffices on a busy route.
 const MAX_ANSWERS_NEEDED_PER_ROUTE: u32 = 10;
-/// Share of the present version's answers that suffices too, if it is smaller.
+/// On a busy route it also suffices that the target version has given this share of the number of
+/// answers of the present version.
 const MIN_SHARE_PER_ROUTE: f64 = 0.02;
 /// Minimum ratio of target engines to present engines with which the target version can serve all
 /// requests.
@@ -222,11 +223,12 @@
         if !is_idle {
             *idle_since = now;
         }
-        // A node that doesn't report may still have requests there, but they end within this time.
+        // Nodes that don't report may still have requests on engines of the present version, but
+        // these end within this time.
         let has_timed_out = settled >= fleet.longest_request + self.settings.grant_lifetime();
         let is_idle_for_long = now.since(*idle_since) >= IDLE_TIME;
-        // Nodes that missed the last stage send no more requests to the present version once their
-        // grants have expired.
+        // Time for the grant of this stage to reach the nodes. Where it does not arrive, the earlier
+        // grant expires.
         let has_arrived = settled >= IDLE_TIME;
         match (is_idle_for_long && has_arrived) || has_timed_out {
             true => Stage::Completed,
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -37,8 +37,8 @@
         &mut self,
         engines: Vec<(BackEndName, SocketAddr)>,
     ) -> Vec<(BackEndName, SocketAddr)> {
-        let is_followed = |name: &BackEndName| engines.iter().any(|(known, _)| known == name);
-        self.cursors.retain(|name, _| is_followed(name));
+        let is_assigned = |name: &BackEndName| engines.iter().any(|(known, _)| known == name);
+        self.cursors.retain(|name, _| is_assigned(name));
         let due = engines.into_iter();
         due.filter(|(name, _)| self.in_flight.insert(name.clone()))
             .collect()
@@ -74,7 +74,7 @@
 ) {
     let incarnation = gateway.life_of(&engine);
     let known = polls.borrow().cursors.get(&engine).copied();
-    let known = known.filter(|(_, counted_in)| *counted_in == incarnation);
+    let known = known.filter(|(_, valid_in)| *valid_in == incarnation);
     let since = known.map(|(cursor, _)| cursor);
     let response = feed.changes(engine.clone(), address, since).await;
     let mut polls = polls.borrow_mut();
--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -79,7 +79,7 @@
     fetch: Option<KvFetch>,
     save_to: Option<SocketAddr>,
     cost: CandidateCost,
-    order: u64,
+    score: u64,
 }
 
 impl Chooser<'_> {
@@ -146,8 +146,8 @@
         versions: &'b [PromptForWeights],
         is_allowed: impl Fn(&Engine) -> bool,
     ) -> Option<Candidate<'b>> {
-        // Load that excluded engines reject moves to the others. Without this limit it would exceed
-        // their capacity and make requests fail there too.
+        // While some engines limit or refuse requests, their load moves to the others. Full engines
+        // are skipped then, because the additional load would make requests fail there too.
         let skip_full = self.has_excluded_engines(request.pool);
         self.engines
             .of_pool(request.pool)
@@ -158,7 +158,7 @@
             .filter_map(|engine| self.candidate(engine, profile, versions, request))
             .min_by(|left, right| {
                 let by_cost = left.cost.total().total_cmp(&right.cost.total());
-                by_cost.then(right.order.cmp(&left.order))
+                by_cost.then(right.score.cmp(&left.score))
             })
     }
 
@@ -200,7 +200,7 @@
 
     /// Whether an engine is on the request's side of the prefill split; `true` for all engines if
     /// there is no split.
-    fn is_reserved_for(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
+    fn matches_split(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
         match (self.prefill_split, request.prompt) {
             (Some(prefill_split), Some(prompt)) => {
                 prefill_split.prefills(engine) == is_prefill_heavy(prompt, self.prices)
@@ -255,7 +255,7 @@
             fetch: None,
             save_to: None,
             cost,
-            order: rendezvous_score(xxh3_64(request.id.as_bytes()), engine.name_hash),
+            score: rendezvous_score(xxh3_64(request.id.as_bytes()), engine.name_hash),
         }
     }
 
@@ -295,7 +295,7 @@
             engine,
             version: Some(version),
             save_to: self.save_to(engine, keys),
-            order: version.order_of(engine),
+            score: version.score_of(engine),
             cached_tokens,
             unread_tokens,
             fetch,
@@ -327,8 +327,8 @@
             let may_be_home = engine.takes_work(self.now)
                 && self.is_healthy(engine)
                 && filter.admits(&engine.entry);
-            if may_be_home && self.is_reserved_for(engine, request) {
-                versions[index].consider_home_engine(engine, self.distance(engine));
+            if may_be_home && self.matches_split(engine, request) {
+                versions[index].add_home_candidate(engine, self.distance(engine));
             }
         }
         versions
--- a/crates/gateway/src/placement/chooser/costs.rs
+++ b/crates/gateway/src/placement/chooser/costs.rs
@@ -17,9 +17,11 @@
 const BYTES_PER_KILOBYTE: f64 = 1e3;
 /// Converts megabits per second to bits per millisecond.
 const BITS_PER_MS_PER_MEGABIT_PER_S: f64 = 1e3;
-/// Factors by which a KV cache transfer takes longer between two zones of a region, and between
-/// regions, than within a zone. The figures come from the operators of the engines.
+/// Factor by which a KV cache transfer takes longer between two zones of a region than within a zone.
+/// The figure comes from the operators of the engines.
 const MOVE_FACTOR_IN_REGION: f64 = 2.0;
+/// Factor by which a KV cache transfer takes longer between regions than within a zone, also from
+/// the operators of the engines.
 const MOVE_FACTOR_REMOTE: f64 = 10.0;
 /// Cost of an unhealthy engine that is tried to find out whether it serves requests again.
 const PROBE_COST: f64 = 0.5;
@@ -102,12 +104,12 @@
     fn fetch_ms(&self, engine: &Engine, fetch: &KvFetch, profile: &EngineProfile) -> f64 {
         let bits = f64::from(fetch.tokens) * profile.kv_token_bytes * 8.0;
         let bits_per_ms = profile.link_megabits.max(1.0) * BITS_PER_MS_PER_MEGABIT_PER_S;
-        let times = match self.fetch_distance(engine, fetch) {
+        let factor = match self.fetch_distance(engine, fetch) {
             Distance::Near => 1.0,
             Distance::SameRegion => MOVE_FACTOR_IN_REGION,
             Distance::Remote => MOVE_FACTOR_REMOTE,
         };
-        times * bits / bits_per_ms
+        factor * bits / bits_per_ms
     }
 
     /// Distance between the engine and the holder of the KV cache to fetch. A holder in an unknown
@@ -131,25 +133,25 @@
         unread_tokens: u32,
         request: &PlacementRequest<'_>,
     ) -> f64 {
-        let Some(longest) = self.table.longest_pause(request.pool) else {
+        let Some(max_pause) = self.table.longest_pause(request.pool) else {
             return 0.0;
         };
-        let wrong_split_side = match self.is_reserved_for(engine, request) {
+        let wrong_split_side = match self.matches_split(engine, request) {
             true => 0.0,
             false => self.prices.wrong_split_side,
         };
         let load = engine.load();
-        let before = self.pause_risk(load.unread_tokens, longest);
-        let after = self.pause_risk(load.unread_tokens.saturating_add(unread_tokens), longest);
+        let before = self.pause_risk(load.unread_tokens, max_pause);
+        let after = self.pause_risk(load.unread_tokens.saturating_add(unread_tokens), max_pause);
         wrong_split_side
             + f64::from(load.requests) * (after - before) * self.prices.first_token_at_target
     }
 
     /// Share of streams that pause for longer than permitted while the engine prefills `tokens`.
-    fn pause_risk(&self, tokens: u32, longest: Duration) -> f64 {
+    fn pause_risk(&self, tokens: u32, max_pause: Duration) -> f64 {
         let prefill_ms = f64::from(tokens) / self.prices.prefill_tokens_per_ms;
-        let longest_ms = longest.as_secs_f64().max(0.001) * 1e3;
-        (PAUSE_RISK * (prefill_ms / longest_ms).powi(3)).min(1.0)
+        let max_pause_ms = max_pause.as_secs_f64().max(0.001) * 1e3;
+        (PAUSE_RISK * (prefill_ms / max_pause_ms).powi(3)).min(1.0)
     }
 
     /// Cost of starting on replaced weights. It directs requests to engines that have loaded the
--- a/crates/gateway/src/placement/chooser/sample.rs
+++ b/crates/gateway/src/placement/chooser/sample.rs
@@ -53,8 +53,8 @@
         let eligible = chooser.engines.of_pool(request.pool);
         let eligible = eligible.filter(|engine| engine.takes_work(chooser.now));
         let eligible = eligible.filter(|engine| filter.admits(&engine.entry));
-        let eligible = eligible
-            .filter(|engine| chooser.is_reserved_for(engine, request) || has_newest(engine));
+        let eligible =
+            eligible.filter(|engine| chooser.matches_split(engine, request) || has_newest(engine));
         let (mut near, mut far): (Vec<_>, Vec<_>) =
             eligible.partition(|engine| engine.entry.zone == *chooser.zone);
         let order = |engine: &&Engine| rendezvous_score(key, engine.name_hash);
@@ -82,11 +82,11 @@
     }
 }
 
-/// Keeps the first `most` engines by `order`. The engines are not fully sorted, because a pool may
+/// Keeps the first `count` engines by `order`. The engines are not fully sorted, because a pool may
 /// have ten thousand of them.
-fn keep_first<K: Ord>(engines: &mut Vec<&Engine>, most: usize, order: impl Fn(&&Engine) -> K) {
-    if engines.len() > most {
-        engines.select_nth_unstable_by_key(most, |engine| order(engine));
-        engines.truncate(most);
+fn keep_first<K: Ord>(engines: &mut Vec<&Engine>, count: usize, order: impl Fn(&&Engine) -> K) {
+    if engines.len() > count {
+        engines.select_nth_unstable_by_key(count, |engine| order(engine));
+        engines.truncate(count);
     }
 }
--- a/crates/gateway/src/placement/chooser/sources.rs
+++ b/crates/gateway/src/placement/chooser/sources.rs
@@ -69,8 +69,8 @@
     /// that it is believed to hold. If it has them all, nothing is transferred.
     pub(super) fn fetch_if_missing(&self, engine: &Engine, keys: &PromptKeys) -> Option<KvFetch> {
         let shared = keys.shared().last().map_or(0, |(_, tokens)| *tokens);
-        let is_worth = shared >= MIN_SAVED_TOKENS;
-        is_worth
+        let is_worthwhile = shared >= MIN_SAVED_TOKENS;
+        is_worthwhile
             .then(|| self.fetch_from_store(engine, keys, 0))
             .flatten()
     }
@@ -130,9 +130,9 @@
     /// too short or already stored.
     pub(super) fn save_to(&self, engine: &Engine, keys: &PromptKeys) -> Option<SocketAddr> {
         let (key, tokens) = keys.shared().last()?;
-        let is_worth = *tokens >= MIN_SAVED_TOKENS && !self.is_stored(*key, engine, keys);
+        let is_worthwhile = *tokens >= MIN_SAVED_TOKENS && !self.is_stored(*key, engine, keys);
         let store = self.store_of(engine, keys)?;
-        is_worth.then_some(store.address)
+        is_worthwhile.then_some(store.address)
     }
 
     pub(super) fn can_export_to(&self, holder: &Engine, receiver: &Engine) -> bool {
--- a/crates/gateway/src/placement/holder_table.rs
+++ b/crates/gateway/src/placement/holder_table.rs
@@ -53,7 +53,7 @@
 
     fn insert(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp, is_announced: bool) {
         if !self.holders.contains_key(&key) && self.holders.len() >= self.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let holders = self.holders.entry(key).or_default();
         if let Some(known) = holders.iter_mut().find(|known| known.engine == *engine) {
@@ -114,7 +114,7 @@
 
     /// Evicts the least recently used eighth of the prefixes at once, so that the sort is rarely
     /// needed.
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let last_use = |holders: &[Holder]| holders.iter().map(|holder| holder.used_at).max();
         let mut times: Vec<_> = self.holders.values().map(|held| last_use(held)).collect();
         times.sort_unstable();
--- a/crates/gateway/src/placement/prefill_split.rs
+++ b/crates/gateway/src/placement/prefill_split.rs
@@ -25,15 +25,15 @@
 /// How the engines of a pool are split between prefill-heavy and decode-heavy requests.
 ///
 /// An engine prefills a prompt in large chunks between decode steps, so a few long prompts in a row
-/// make all of its streams pause. Nodes can't avoid this by spreading long prompts over time,
-/// because what they know of each other's choices is older than the prefill of a prompt takes.
-/// Instead, long prompts go to other engines than streams. All nodes compute the same split from a
-/// hash of the engines' names and the demand that all nodes report. See docs/design/shifted.md.
+/// make all of its streams pause. Nodes can't spread long prompts over time, because reports of each
+/// other's choices arrive later than a prefill ends. Instead, long prompts go to other engines than
+/// streams. All nodes compute the same split from hashes of the engines' names and the demand that
+/// all nodes report. See docs/design/shifted.md.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PrefillSplit {
     /// In each zone, engines whose name hash is at most this value are reserved for prefill-heavy
     /// requests.
-    last_prefill_hash: BTreeMap<ZoneName, u64>,
+    max_prefill_hash: BTreeMap<ZoneName, u64>,
 }
 
 impl PrefillSplit {
@@ -79,11 +79,11 @@
         }
         // Spare capacity is given to both sides in proportion to their needs.
         let share = prefill_share / needed;
-        let last_prefill_hash = hashes
+        let max_prefill_hash = hashes
             .into_iter()
-            .filter_map(|(zone, hashes)| Some((zone.clone(), last_prefill_hash(hashes, share)?)))
+            .filter_map(|(zone, hashes)| Some((zone.clone(), max_prefill_hash(hashes, share)?)))
             .collect();
-        Some(Self { last_prefill_hash })
+        Some(Self { max_prefill_hash })
     }
 
     /// Number of engines reserved for prefill-heavy requests.
@@ -96,18 +96,18 @@
 
     /// Whether the engine is reserved for prefill-heavy requests.
     pub fn prefills(&self, engine: &Engine) -> bool {
-        let last = self.last_prefill_hash.get(&engine.entry.zone);
-        last.is_some_and(|last| engine.name_hash <= *last)
+        let max = self.max_prefill_hash.get(&engine.entry.zone);
+        max.is_some_and(|max| engine.name_hash <= *max)
     }
 }
 
 /// The highest hash of a reserved engine in a zone. With at least two engines in the zone, each
 /// side gets at least one; with fewer, none is reserved.
-fn last_prefill_hash(mut hashes: Vec<u64>, share: f64) -> Option<u64> {
+fn max_prefill_hash(mut hashes: Vec<u64>, share: f64) -> Option<u64> {
     hashes.sort_unstable();
-    let most = hashes.len().checked_sub(1).filter(|most| *most > 0)?;
+    let max = hashes.len().checked_sub(1).filter(|max| *max > 0)?;
     let wanted = (share * hashes.len() as f64).round() as usize;
-    Some(hashes[wanted.clamp(1, most) - 1])
+    Some(hashes[wanted.clamp(1, max) - 1])
 }
 
 /// Whether prefilling the prompt takes an engine longer than decoding the answer.
--- a/crates/gateway/src/placement/prompt_for_weights.rs
+++ b/crates/gateway/src/placement/prompt_for_weights.rs
@@ -7,8 +7,10 @@
 use crate::topology::Distance;
 
 /// Holders of small prefixes are not announced to other nodes, so each zone has a home engine for
-/// them. With several regions there are many zones, and each region has one home engine instead.
+/// them.
 const SMALL_PREFIX_HOME_SCOPE: Distance = Distance::Near;
+/// In a deployment with several regions there are many zones, so each region, not each zone, has a
+/// home engine for small prefixes.
 const SMALL_PREFIX_HOME_SCOPE_WITH_REGIONS: Distance = Distance::SameRegion;
 /// For large prefixes each region has one home engine. It prefills the prefix once or fetches it
 /// from a region that has it.
@@ -25,13 +27,13 @@
     pub(super) salt: String,
     pub(super) keys: PromptKeys,
     /// Seeds the rendezvous order of engines, which is the same on every node.
-    order_key: u64,
+    rendezvous_key: u64,
     /// Rendezvous score of the first engine in the pool.
-    highest_order: u64,
+    highest_score: u64,
     /// Rendezvous score of the first engine in this node's zone; zero if there is none.
-    highest_zone_order: u64,
+    highest_zone_score: u64,
     /// Rendezvous score of the first engine in this node's region; zero if there is none.
-    highest_region_order: u64,
+    highest_region_score: u64,
     /// Whether there are several regions.
     has_regions: bool,
 }
@@ -45,16 +47,16 @@
     ) -> Self {
         let salt = request.salt(weights);
         let keys = prompt.keys(&salt);
-        let order_key = keys.shared().last().or(keys.0.last());
+        let rendezvous_key = keys.shared().last().or(keys.0.last());
         Self {
             model: prompt.model.clone(),
             weights,
-            order_key: order_key.map_or(0, |(key, _)| key.0),
+            rendezvous_key: rendezvous_key.map_or(0, |(key, _)| key.0),
             salt,
             keys,
-            highest_order: 0,
-            highest_zone_order: 0,
-            highest_region_order: 0,
+            highest_score: 0,
+            highest_zone_score: 0,
+            highest_region_score: 0,
             has_regions,
         }
     }
@@ -65,19 +67,19 @@
     }
 
     /// Rendezvous score of an engine; the highest score comes first.
-    pub(super) fn order_of(&self, engine: &Engine) -> u64 {
-        rendezvous_score(self.order_key, engine.name_hash)
+    pub(super) fn score_of(&self, engine: &Engine) -> u64 {
+        rendezvous_score(self.rendezvous_key, engine.name_hash)
     }
 
     /// Takes an engine with these weights into account as a possible home engine.
-    pub(super) fn consider_home_engine(&mut self, engine: &Engine, distance: Distance) {
-        let order = self.order_of(engine);
-        self.highest_order = self.highest_order.max(order);
+    pub(super) fn add_home_candidate(&mut self, engine: &Engine, distance: Distance) {
+        let score = self.score_of(engine);
+        self.highest_score = self.highest_score.max(score);
         if distance == Distance::Near {
-            self.highest_zone_order = self.highest_zone_order.max(order);
+            self.highest_zone_score = self.highest_zone_score.max(score);
         }
         if distance < Distance::Remote {
-            self.highest_region_order = self.highest_region_order.max(order);
+            self.highest_region_score = self.highest_region_score.max(score);
         }
     }
 
@@ -95,7 +97,7 @@
     /// Whether this is the home engine, to which all nodes in the home scope send a prefix without
     /// a known holder.
     pub(super) fn is_home_engine(&self, engine: &Engine) -> bool {
-        self.order_of(engine) == self.home_order_within(self.home_scope())
+        self.score_of(engine) == self.home_score_within(self.home_scope())
     }
 
     /// Distance from a node within which its home engine is chosen.
@@ -109,13 +111,13 @@
 
     /// Score of the first engine within a distance; of the first engine anywhere if there is none
     /// that near.
-    fn home_order_within(&self, distance: Distance) -> u64 {
-        let orders = match distance {
-            Distance::Near => [self.highest_zone_order, self.highest_region_order],
-            Distance::SameRegion => [self.highest_region_order, 0],
+    fn home_score_within(&self, distance: Distance) -> u64 {
+        let scores = match distance {
+            Distance::Near => [self.highest_zone_score, self.highest_region_score],
+            Distance::SameRegion => [self.highest_region_score, 0],
             Distance::Remote => [0, 0],
         };
-        let first = orders.into_iter().find(|order| *order > 0);
-        first.unwrap_or(self.highest_order)
+        let first = scores.into_iter().find(|score| *score > 0);
+        first.unwrap_or(self.highest_score)
     }
 }
