--- a/crates/core/src/release/exposure.rs
+++ b/crates/core/src/release/exposure.rs
@@ -59,22 +59,22 @@
     pub fn during_trial(share: f64, fleet: &Fleet, elapsed: Duration) -> Self {
         let present = fleet.present.max(1) as f64;
         let engines = ((share * present) as usize).clamp(1, fleet.target.max(1));
-        let part = engines as f64 / present;
-        let surge_share = (share / part).min(1.0);
-        let periods = elapsed.as_secs_f64() / SURGE_INTERVAL.as_secs_f64();
-        let is_surge = periods.fract() < surge_share;
+        let full_load_share = engines as f64 / present;
+        let surge_share = (share / full_load_share).min(1.0);
+        let intervals = elapsed.as_secs_f64() / SURGE_INTERVAL.as_secs_f64();
+        let is_surge = intervals.fract() < surge_share;
         let targets = fleet.target.max(1);
-        let passed = match engines < MIN_ENGINES_WITHOUT_ROTATION {
-            true => rotations_before(periods, surge_share) * engines,
+        let rotated = match engines < MIN_ENGINES_WITHOUT_ROTATION {
+            true => rotations_before(intervals, surge_share) * engines,
             false => 0,
         };
         // Each round starts one engine later. The last rotation of a surge may be short, and
         // without this shift it would always fall on the same engines.
-        let first = (passed + passed / targets) % targets;
+        let first = (rotated + rotated / targets) % targets;
         Self {
             share: match is_surge {
                 // This may exceed the average share; the budgets of the nodes limit the total.
-                true => part.min(1.0),
+                true => full_load_share.min(1.0),
                 false => 0.0,
             },
             window: Window {
@@ -85,12 +85,12 @@
     }
 }
 
-/// Number of rotations completed after `periods` surge intervals, where a surge takes the share
+/// Number of rotations completed after `intervals` surge intervals, where a surge takes the share
 /// `surge_share` of each interval.
-fn rotations_before(periods: f64, surge_share: f64) -> usize {
+fn rotations_before(intervals: f64, surge_share: f64) -> usize {
     let rotations_per_interval = SURGE_INTERVAL.as_secs_f64() / ROTATION_INTERVAL.as_secs_f64();
     let rotations_per_surge = (surge_share * rotations_per_interval).ceil().max(1.0);
     let rotations_in_surge =
-        (periods.fract() * rotations_per_interval).min(rotations_per_surge - 1.0);
-    (periods.trunc() * rotations_per_surge) as usize + rotations_in_surge as usize
+        (intervals.fract() * rotations_per_interval).min(rotations_per_surge - 1.0);
+    (intervals.trunc() * rotations_per_surge) as usize + rotations_in_surge as usize
 }
--- a/crates/gateway/src/engines/engine.rs
+++ b/crates/gateway/src/engines/engine.rs
@@ -114,11 +114,11 @@
         self.loading
             .take_if(|loading| loading.model == model && loading.version <= version);
         let known = self.entry.weights.entry(model.to_owned()).or_default();
-        let is_news = version > *known;
-        if is_news {
+        let is_newer = version > *known;
+        if is_newer {
             *known = version;
         }
-        is_news
+        is_newer
     }
 
     /// Records that the engine is loading a version of a model's weights. The load is assumed to be
