--- a/crates/gateway/src/placement/candidate_cost.rs
+++ b/crates/gateway/src/placement/candidate_cost.rs
@@ -23,7 +23,8 @@
     pub moved: f64,
     /// Cost of sending the request body to another zone.
     pub zone: f64,
-    /// Cost of the slots and KV memory in use on the engine, and of its poor health if any.
+    /// Cost of the slots and KV memory in use on the engine. Includes surcharges for engines that are
+    /// unhealthy, unlisted or recently refused a request.
     pub load: f64,
 }
 
