--- a/crates/gateway/tests/silent_engines.rs
+++ b/crates/gateway/tests/silent_engines.rs
@@ -168,13 +168,13 @@
 #[test]
 fn estimate_needs_values_and_keeps_above_what_is_usual() {
     let mut estimate = TimeEstimate::first(Duration::from_millis(100));
-    assert!(!estimate.is_settled());
+    assert!(!estimate.is_ready());
     for index in 1..15 {
         estimate.note(Duration::from_millis(100 + 10 * (index % 3)));
-        assert!(!estimate.is_settled());
+        assert!(!estimate.is_ready());
     }
     estimate.note(Duration::from_millis(100));
-    assert!(estimate.is_settled());
+    assert!(estimate.is_ready());
     let longest = estimate.max_while_others_answered();
     assert!(longest >= Duration::from_millis(250), "{longest:?}");
     assert!(estimate.max_without_response() > longest);
