--- a/crates/core/src/release/counts.rs
+++ b/crates/core/src/release/counts.rs
@@ -1,4 +1,4 @@
-//! Answers of a release, counted.
+//! Counters of answers during a release.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 
 use super::{CountKey, EngineKey, Judgement, RouteKey, Tally};
 
-/// Answers of both versions since a release was heard of. They only rise, so a message that is lost
-/// takes nothing away.
+/// Counters of the answers of both versions since a node learned of the release. They only increase
+/// and every report carries all of them, so a lost report does no harm.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "Vec<(RouteKey, EngineKey, Tally)>",
@@ -16,72 +16,72 @@
 pub struct Counts(BTreeMap<CountKey, Tally>);
 
 impl Counts {
-    /// One more answer.
-    pub fn note(&mut self, cell: CountKey, judgement: Judgement) {
-        self.0.entry(cell).or_default().note(judgement);
+    /// Counts one answer.
+    pub fn note(&mut self, key: CountKey, judgement: Judgement) {
+        self.0.entry(key).or_default().note(judgement);
     }
 
-    /// Adds answers.
-    pub fn add(&mut self, cell: CountKey, tally: Tally) {
-        self.0.entry(cell).or_default().add(tally);
+    /// Adds `tally` to the counter of `key`.
+    pub fn add(&mut self, key: CountKey, tally: Tally) {
+        self.0.entry(key).or_default().add(tally);
     }
 
-    /// Adds all of others.
+    /// Adds all counters of `other`.
     pub fn add_all(&mut self, other: &Self) {
-        for (cell, tally) in other.iter() {
-            self.add(cell, tally);
+        for (key, tally) in other.iter() {
+            self.add(key, tally);
         }
     }
 
-    /// Takes a report of whoever reported these before.
-    pub fn raise(&mut self, later: &Self) {
-        for (cell, tally) in later.iter() {
-            self.0.entry(cell).or_default().raise(tally);
+    /// Merges a report of the same reporter, taking the larger value of each counter.
+    pub fn merge_max(&mut self, later: &Self) {
+        for (key, tally) in later.iter() {
+            self.0.entry(key).or_default().merge_max(tally);
         }
     }
 
-    /// The answers that are counted together.
-    pub fn of(&self, cell: CountKey) -> Tally {
-        self.0.get(&cell).copied().unwrap_or_default()
+    /// The counter of `key`.
+    pub fn of(&self, key: CountKey) -> Tally {
+        self.0.get(&key).copied().unwrap_or_default()
     }
 
-    /// All of them, in the order of their cells.
+    /// All counters in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (CountKey, Tally)> {
-        self.0.iter().map(|(cell, tally)| (*cell, *tally))
+        self.0.iter().map(|(key, tally)| (*key, *tally))
     }
 
-    /// Whether nothing was counted.
+    /// Whether there are no counters.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Answers of the present version.
+    /// Answers of the present version on all routes.
     pub fn present(&self) -> Tally {
-        self.sum(|cell| cell.is_present())
+        self.sum(|key| key.is_present())
     }
 
-    /// Answers of the target version.
+    /// Answers of the target version on all routes.
     pub fn target(&self) -> Tally {
-        self.sum(|cell| !cell.is_present())
+        self.sum(|key| !key.is_present())
     }
 
     /// Answers of the target version on a route.
     pub fn target_on(&self, route: RouteKey) -> Tally {
-        self.sum(|cell| cell.route == route && !cell.is_present())
+        self.sum(|key| key.route == route && !key.is_present())
     }
 
-    /// How many answers came of each engine of the target version.
+    /// Number of answers from each engine of the target version.
     pub fn target_by_engine(&self) -> impl Iterator<Item = u32> {
         let mut sums: BTreeMap<EngineKey, u32> = BTreeMap::new();
-        for (cell, tally) in self.iter().filter(|(cell, _)| !cell.is_present()) {
-            *sums.entry(cell.engine).or_default() += tally.answers;
+        for (key, tally) in self.iter().filter(|(key, _)| !key.is_present()) {
+            *sums.entry(key.engine).or_default() += tally.answers;
         }
         sums.into_values()
     }
 
     fn sum(&self, is_counted: impl Fn(&CountKey) -> bool) -> Tally {
         let mut sum = Tally::default();
-        for (_, tally) in self.iter().filter(|(cell, _)| is_counted(cell)) {
+        for (_, tally) in self.iter().filter(|(key, _)| is_counted(key)) {
             sum.add(tally);
         }
         sum
@@ -89,10 +89,10 @@
 }
 
 impl From<Vec<(RouteKey, EngineKey, Tally)>> for Counts {
-    fn from(cells: Vec<(RouteKey, EngineKey, Tally)>) -> Self {
-        let cells = cells.into_iter();
+    fn from(entries: Vec<(RouteKey, EngineKey, Tally)>) -> Self {
+        let entries = entries.into_iter();
         Self(
-            cells
+            entries
                 .map(|(route, engine, tally)| (CountKey { route, engine }, tally))
                 .collect(),
         )
@@ -101,9 +101,9 @@
 
 impl From<Counts> for Vec<(RouteKey, EngineKey, Tally)> {
     fn from(counts: Counts) -> Self {
-        let cells = counts.iter();
-        cells
-            .map(|(cell, tally)| (cell.route, cell.engine, tally))
+        let entries = counts.iter();
+        entries
+            .map(|(key, tally)| (key.route, key.engine, tally))
             .collect()
     }
 }
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -1,4 +1,4 @@
-//! The stages of a release, as its director takes it through them.
+//! State machine of a release, run by its director.
 
 use std::time::Duration;
 
@@ -7,47 +7,52 @@
 };
 use crate::Timestamp;
 
-/// Part of the ramp that the trial takes: a version may fail only after a while, and what is left is
-/// enough for all requests to move and for those that run to end.
+/// Share of the ramp that the trial takes. A version may fail only after a while, and the rest of
+/// the ramp must suffice for all requests to move and for those in progress to end.
 const TRIAL_SHARE: f64 = 0.6;
-/// The trial goes on for so long after another director has taken it up, or after requests that had begun to
-/// move went back: the target version then answered little or nothing of late, and what is known of it may be
-/// out of date. That is what grants take to arrive, answers to come and news of them to be told.
-const LEAST_TRIAL: Duration = Duration::from_secs(2);
-/// The pool's traffic is known roughly after so long: answers take some hundred milliseconds.
-const TRAFFIC_KNOWN_AFTER: Duration = Duration::from_secs(2);
-/// In a pool with few requests the slack is a large part of what the target version may get, and without it
-/// there would be too few answers to tell a bad version by. The slack adds at most this to the share of the
-/// requests that the target version gets, so that it is spread over the trial.
-const MOST_SLACK_SHARE: f64 = 0.15;
-/// Shares of new requests, one after the other, before all go to the target version. Few: while they
-/// last, a version that has become bad gets more than in the trial.
-const SHIFTS: [f64; 2] = [0.3, 0.6];
-/// Time at each share: what a grant takes to reach every node, and some answers after that.
-const SHIFT_TIME: Duration = Duration::from_millis(700);
-/// Answers of the target version without which it is not taken to do as well: of a version that fails one
-/// request in ten, four are bad by then.
-const LEAST_ANSWERS: u32 = 40;
-/// They must come from as many engines as it takes to convict a version, so many from each: what one of them
-/// does wrong alone is held against none.
-const LEAST_ANSWERS_OF_ENGINE: u32 = 5;
-/// With fewer answers of the present version there is no traffic to speak of.
-const LEAST_TRAFFIC: u32 = 10;
-/// On a route with so many answers of the present version ..
-const BUSY_ROUTE: u32 = 100;
-/// .. so many of the target version are needed, or this share of those, if that is less.
-const LEAST_ANSWERS_OF_ROUTE: u32 = 10;
-const LEAST_SHARE_OF_ROUTE: f64 = 0.02;
-/// Engines of the target version, for each of the present one, that can bear its requests.
-const LEAST_ENGINES: f64 = 0.8;
-/// The release is completed once nothing was seen to run at the present version's engines for so long: news
-/// of what runs are up to a second old.
+/// Minimum duration of the trial after a change of director, or after requests had begun to move
+/// and went back. In both cases the target version has answered few requests recently, so the
+/// counts may be out of date. The time suffices for grants and answers to arrive and for the
+/// answers to be reported.
+const MIN_TRIAL_TIME: Duration = Duration::from_secs(2);
+/// Time after which the pool's traffic can be estimated; answers take some hundred milliseconds.
+const TRAFFIC_MEASURING_TIME: Duration = Duration::from_secs(2);
+/// Maximum share of requests that the slack adds to the target version's share. In a pool with few
+/// requests, the slack is a large part of what the target version may get, and needed for enough
+/// answers to detect a bad version. The limit spreads it over the trial.
+const MAX_SLACK_SHARE: f64 = 0.15;
+/// Shares of new requests that the target version gets in sequence before it gets all. The steps
+/// are few, because while they last a version that has become bad gets more requests than in the
+/// trial.
+const SHIFT_SHARES: [f64; 2] = [0.3, 0.6];
+/// Duration of each step: time for a grant to reach every node, and for some answers after that.
+const SHIFT_STEP_TIME: Duration = Duration::from_millis(700);
+/// Minimum number of answers of the target version before requests move. Of a version that fails
+/// one request in ten, four answers are bad by then.
+const MIN_ANSWERS: u32 = 40;
+/// Minimum number of answers per engine. At least as many engines as are needed for a rollback must
+/// reach it, because faults of a single engine don't count against the version.
+const MIN_ANSWERS_PER_ENGINE: u32 = 5;
+/// Number of answers of the present version below which the pool is considered to have no traffic.
+const MIN_PRESENT_ANSWERS: u32 = 10;
+/// Number of answers of the present version that makes a route busy.
+const BUSY_ROUTE_ANSWERS: u32 = 100;
+/// Number of answers of the target version that always suffices on a busy route.
+const MAX_ANSWERS_NEEDED_PER_ROUTE: u32 = 10;
+/// On a busy route it also suffices that the target version has given this share of the number of
+/// answers of the present version.
+const MIN_SHARE_PER_ROUTE: f64 = 0.02;
+/// Minimum ratio of target engines to present engines with which the target version can serve all
+/// requests.
+const MIN_ENGINE_RATIO: f64 = 0.8;
+/// The release is completed when no request has been seen on engines of the present version for
+/// this time. Reports of requests in progress are up to one second old.
 const IDLE_TIME: Duration = Duration::from_millis(1_200);
-/// After so many ramps a version that was not seen to do as well is rolled back: engines that never came,
-/// or that answer nothing.
-const MOST_RAMPS: u32 = 3;
+/// A version that has not passed the trial after this many ramps is rolled back. Its engines may
+/// not have started, or may not answer.
+const MAX_RAMPS: u32 = 3;
 
-/// The stages of a release, as its director takes it through them.
+/// State machine of a release, run by its director.
 #[derive(Debug, Clone)]
 pub struct Progress {
     order: Order,
@@ -62,7 +67,7 @@
 }
 
 impl Progress {
-    /// A release that begins.
+    /// Starts a release.
     pub fn new(order: Order, settings: Settings, now: Timestamp) -> Self {
         Self {
             order,
@@ -80,8 +85,9 @@
         }
     }
 
-    /// A release that another director has begun: `grant` was the last heard of it, `age` ago. Requests
-    /// that had begun to move start again from the trial, which costs time and no caller anything.
+    /// Resumes a release started by another director. `grant` is its last known grant, received
+    /// `age` ago. If requests had begun to move, the release continues with the trial; this takes
+    /// time but does not affect callers.
     pub fn resume(grant: &Grant, age: Duration, settings: Settings, now: Timestamp) -> Self {
         let begun_at = now.before(age).before(grant.elapsed);
         let mut trial = Self::new(grant.order.clone(), settings, now);
@@ -92,9 +98,10 @@
         trial
     }
 
-    /// Goes on with what a node held against the target version before it directs the release. Taken anew its
-    /// answers would all be of one moment, like those of crashes, of which few count.
-    pub fn with_suspicion(self, comparison: Comparison, rollback: Option<Rollback>) -> Self {
+    /// Sets the comparison that this node maintained before it became the director. If the
+    /// comparison processed all answers again, they would seem to arrive at one time, as in a
+    /// crash, and few of them would count.
+    pub fn with_comparison(self, comparison: Comparison, rollback: Option<Rollback>) -> Self {
         Self {
             comparison,
             rollback,
@@ -102,27 +109,27 @@
         }
     }
 
-    /// The order.
+    /// The order of the release.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// How far it has come.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Why it was rolled back.
+    /// Reason for the rollback, if there is one.
     pub fn rollback(&self) -> Option<&Rollback> {
         self.rollback.as_ref()
     }
 
-    /// How long it has gone on.
+    /// Time since the release began.
     pub fn elapsed(&self, now: Timestamp) -> Duration {
         now.since(self.begun_at)
     }
 
-    /// Takes the release on by what is known now; tells whether its stage has changed.
+    /// Updates the stage from what is known now; returns `true` if it has changed.
     pub fn advance(&mut self, fleet: &Fleet, total: &Counts, now: Timestamp) -> bool {
         let before = self.stage;
         if before.is_final() {
@@ -146,7 +153,7 @@
         next != before
     }
 
-    /// The operator has taken the order back.
+    /// Handles the removal of the order by the operator.
     pub fn withdraw(&mut self) {
         if !self.stage.is_final() {
             self.stage = Stage::Withdrawn;
@@ -154,7 +161,7 @@
         }
     }
 
-    /// What nodes may do until the next grant.
+    /// What nodes may do until they receive the next grant.
     pub fn grant(&self, revision: u64, fence: u64, number: u64, now: Timestamp) -> Grant {
         let is_trial = self.stage == Stage::Trial;
         Grant {
@@ -171,7 +178,7 @@
 
     fn after_trial(&mut self, fleet: &Fleet, total: &Counts, now: Timestamp) -> Stage {
         let elapsed = self.elapsed(now);
-        if elapsed >= self.order.ramp * MOST_RAMPS && now.since(self.stage_since) >= self.order.ramp
+        if elapsed >= self.order.ramp * MAX_RAMPS && now.since(self.stage_since) >= self.order.ramp
         {
             self.rollback = Some(Rollback::Unproven {
                 target: total.target(),
@@ -180,13 +187,13 @@
             return Stage::RolledBack;
         }
         let is_due = elapsed >= self.order.ramp.mul_f64(TRIAL_SHARE)
-            && now.since(self.stage_since) >= LEAST_TRIAL;
+            && now.since(self.stage_since) >= MIN_TRIAL_TIME;
         let is_proven =
-            has_enough_answers(total, fleet.target) && self.comparison.is_clear(fleet.target);
+            has_enough_answers(total, fleet.target) && self.comparison.allows_shift(fleet.target);
         let is_proven =
-            is_proven && (!has_traffic(total) || self.comparison.has_shown_as_good(fleet.target));
+            is_proven && (!has_traffic(total) || self.comparison.is_accepted(fleet.target));
         let is_decided = is_proven && !self.comparison.seems_slow(now);
-        match is_due && is_decided && can_bear_all(fleet) {
+        match is_due && is_decided && has_capacity_for_all(fleet) {
             true => Stage::Shifting,
             false => Stage::Trial,
         }
@@ -194,11 +201,11 @@
 
     fn after_shift(&self, fleet: &Fleet, now: Timestamp) -> Stage {
         let is_doubtful =
-            !self.comparison.is_clear(fleet.target) || self.comparison.seems_slow(now);
-        if is_doubtful || !can_bear_all(fleet) {
+            !self.comparison.allows_shift(fleet.target) || self.comparison.seems_slow(now);
+        if is_doubtful || !has_capacity_for_all(fleet) {
             return Stage::Trial;
         }
-        let length = SHIFT_TIME * SHIFTS.len() as u32;
+        let length = SHIFT_STEP_TIME * SHIFT_SHARES.len() as u32;
         match now.since(self.stage_since) >= length {
             true => Stage::Settling,
             false => Stage::Shifting,
@@ -206,7 +213,7 @@
     }
 
     fn after_settling(&mut self, fleet: &Fleet, now: Timestamp) -> Stage {
-        if !can_bear_all(fleet) || self.comparison.seems_slow(now) {
+        if !has_capacity_for_all(fleet) || self.comparison.seems_slow(now) {
             self.idle_since = None;
             return Stage::Trial;
         }
@@ -216,22 +223,24 @@
         if !is_idle {
             *idle_since = now;
         }
-        // A node that is not heard may have requests there until they end by themselves.
-        let is_over = settled >= fleet.longest_request + self.settings.grant_life();
+        // Nodes that don't report may still have requests on engines of the present version, but
+        // these end within this time.
+        let has_timed_out = settled >= fleet.longest_request + self.settings.grant_lifetime();
         let is_idle_for_long = now.since(*idle_since) >= IDLE_TIME;
-        // Nodes that have not heard of the last stage send nothing more once their grants have run out.
+        // Time for the grant of this stage to reach the nodes. Where it does not arrive, the earlier
+        // grant expires.
         let has_arrived = settled >= IDLE_TIME;
-        match (is_idle_for_long && has_arrived) || is_over {
+        match (is_idle_for_long && has_arrived) || has_timed_out {
             true => Stage::Completed,
             false => Stage::Settling,
         }
     }
 
-    /// The part of the slack that is needed for enough answers, as a share of the requests that come during
+    /// Part of the slack needed to get enough answers, as a share of the requests expected during
     /// the trial.
     fn slack_share(&self, total: &Counts, now: Timestamp) -> f64 {
         let elapsed = self.elapsed(now);
-        if elapsed < TRAFFIC_KNOWN_AFTER {
+        if elapsed < TRAFFIC_MEASURING_TIME {
             return 0.0;
         }
         let elapsed_s = elapsed.as_secs_f64();
@@ -239,9 +248,9 @@
         let per_second = f64::from(answers) / elapsed_s;
         let trial_s = self.order.ramp.as_secs_f64() * TRIAL_SHARE;
         let requests = (per_second * trial_s).max(1.0);
-        let missing = f64::from(LEAST_ANSWERS) - requests * self.settings.used_share();
+        let missing = f64::from(MIN_ANSWERS) - requests * self.settings.used_share();
         let share = missing.clamp(0.0, self.settings.used_slack()) / requests;
-        share.min(MOST_SLACK_SHARE)
+        share.min(MAX_SLACK_SHARE)
     }
 
     fn exposure_at(&self, fleet: &Fleet, total: &Counts, now: Timestamp) -> Exposure {
@@ -255,8 +264,9 @@
                 Exposure::during_trial(share, fleet, self.elapsed(now))
             }
             Stage::Shifting => {
-                let steps = now.since(self.stage_since).as_secs_f64() / SHIFT_TIME.as_secs_f64();
-                all(SHIFTS[(steps as usize).min(SHIFTS.len() - 1)])
+                let steps =
+                    now.since(self.stage_since).as_secs_f64() / SHIFT_STEP_TIME.as_secs_f64();
+                all(SHIFT_SHARES[(steps as usize).min(SHIFT_SHARES.len() - 1)])
             }
             Stage::Settling | Stage::Completed => all(1.0),
             Stage::RolledBack | Stage::Withdrawn => all(0.0),
@@ -264,37 +274,38 @@
     }
 }
 
-/// Whether there are enough requests for a bad version to harm any.
+/// Whether there are enough requests that a bad version could harm any.
 fn has_traffic(total: &Counts) -> bool {
-    total.present().answers >= LEAST_TRAFFIC
+    total.present().answers >= MIN_PRESENT_ANSWERS
 }
 
-/// Whether the target version has answered enough: in all, from enough engines, and on every busy route.
+/// Whether the target version has given enough answers: in total, from enough engines, and on every
+/// busy route.
 fn has_enough_answers(total: &Counts, engines: usize) -> bool {
     let present = total.present();
-    // Where there is hardly any traffic, a bad version can harm hardly any requests.
+    // With hardly any traffic, a bad version can harm hardly any requests.
     if !has_traffic(total) {
         return true;
     }
-    let least = LEAST_ANSWERS.min(present.answers / 10);
+    let least = MIN_ANSWERS.min(present.answers / 10);
     if total.target().answers < least {
         return false;
     }
     let answers = total.target_by_engine();
-    let seen = answers.filter(|answers| *answers >= LEAST_ANSWERS_OF_ENGINE.min(least));
-    if seen.count() < Comparison::engines_to_convict(engines) {
+    let seen = answers.filter(|answers| *answers >= MIN_ANSWERS_PER_ENGINE.min(least));
+    if seen.count() < Comparison::min_engines_for_rollback(engines) {
         return false;
     }
-    let routes = total.iter().filter(|(cell, _)| cell.is_present());
-    let mut busy = routes.filter(|(_, tally)| tally.answers >= BUSY_ROUTE);
+    let routes = total.iter().filter(|(key, _)| key.is_present());
+    let mut busy = routes.filter(|(_, tally)| tally.answers >= BUSY_ROUTE_ANSWERS);
     busy.all(|(CountKey { route, .. }, tally)| {
-        let share = f64::from(tally.answers) * LEAST_SHARE_OF_ROUTE;
-        let least = LEAST_ANSWERS_OF_ROUTE.min(share as u32);
+        let share = f64::from(tally.answers) * MIN_SHARE_PER_ROUTE;
+        let least = MAX_ANSWERS_NEEDED_PER_ROUTE.min(share as u32);
         total.target_on(route).answers >= least
     })
 }
 
-/// Whether the engines of the target version can take all requests of the pool.
-fn can_bear_all(fleet: &Fleet) -> bool {
-    fleet.target > 0 && fleet.target as f64 >= fleet.present as f64 * LEAST_ENGINES
+/// Whether the engines of the target version can serve all requests of the pool.
+fn has_capacity_for_all(fleet: &Fleet) -> bool {
+    fleet.target > 0 && fleet.target as f64 >= fleet.present as f64 * MIN_ENGINE_RATIO
 }
--- a/crates/gateway/src/placement/holder_table.rs
+++ b/crates/gateway/src/placement/holder_table.rs
@@ -8,10 +8,10 @@
 
 use super::PartKey;
 
-/// Most holders that are remembered of one prefix, the latest ones.
-const MOST_HOLDERS: usize = 6;
+/// Maximum number of holders recorded for one prefix; the most recent ones are kept.
+const MAX_HOLDERS: usize = 6;
 
-/// Name under which a store of kept KV cache stands in the table.
+/// Name under which a KV store is entered as a holder.
 pub fn store_holder_name(address: SocketAddr) -> BackEndName {
     BackEndName::new(format!("kv-store/{address}"))
 }
@@ -20,11 +20,12 @@
 struct Holder {
     engine: BackEndName,
     used_at: Timestamp,
-    /// Whether other nodes know of it too.
-    is_told: bool,
+    /// Whether other nodes have been told of this holder.
+    is_announced: bool,
 }
 
-/// Which engines read or fetched which prefixes lately; bounded, the longest unused go first.
+/// Engines that recently prefilled or fetched each prefix. The table is bounded; the least recently
+/// used prefixes are evicted first.
 #[derive(Debug)]
 pub struct HolderTable {
     capacity: usize,
@@ -32,7 +33,7 @@
 }
 
 impl HolderTable {
-    /// A table of at most `capacity` prefixes.
+    /// Creates a table for at most `capacity` prefixes.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -40,43 +41,43 @@
         }
     }
 
-    /// `engine` used the prefix at `at`, which other nodes know too.
+    /// Records that `engine` used the prefix at `at` and that other nodes know this too.
     pub fn note(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
         self.insert(key, engine, at, true);
     }
 
-    /// `engine` used the prefix at `at`, which no other node is told.
-    pub fn note_untold(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
+    /// Records that `engine` used the prefix at `at`. This is not announced to other nodes.
+    pub fn note_local(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp) {
         self.insert(key, engine, at, false);
     }
 
-    fn insert(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp, is_told: bool) {
+    fn insert(&mut self, key: PartKey, engine: &BackEndName, at: Timestamp, is_announced: bool) {
         if !self.holders.contains_key(&key) && self.holders.len() >= self.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let holders = self.holders.entry(key).or_default();
         if let Some(known) = holders.iter_mut().find(|known| known.engine == *engine) {
             known.used_at = known.used_at.max(at);
-            known.is_told |= is_told;
+            known.is_announced |= is_announced;
             return;
         }
-        if holders.len() >= MOST_HOLDERS {
+        if holders.len() >= MAX_HOLDERS {
             let oldest = (0..holders.len()).min_by_key(|&index| holders[index].used_at);
             holders.swap_remove(oldest.unwrap_or_default());
         }
         holders.push(Holder {
             engine: engine.clone(),
             used_at: at,
-            is_told,
+            is_announced,
         });
     }
 
-    /// Whether anything is known of the prefix.
-    pub fn knows(&self, key: PartKey) -> bool {
+    /// Whether the table has an entry for the prefix.
+    pub fn contains(&self, key: PartKey) -> bool {
         self.holders.contains_key(&key)
     }
 
-    /// Engines that used the prefix, with the time of the last use.
+    /// Engines that used the prefix, each with the time of its last use.
     pub fn of(&self, key: PartKey) -> impl Iterator<Item = (&BackEndName, Timestamp)> {
         let holders = self.holders.get(&key);
         holders
@@ -85,7 +86,7 @@
             .map(|holder| (&holder.engine, holder.used_at))
     }
 
-    /// When a store of kept KV cache was last known to hold the part.
+    /// Time at which the KV store was last known to hold the part.
     pub fn stored_at(&self, key: PartKey, store: SocketAddr) -> Option<Timestamp> {
         let store = store_holder_name(store);
         let mut holders = self.of(key);
@@ -93,7 +94,7 @@
         in_store.map(|(_, used_at)| used_at)
     }
 
-    /// An engine holds nothing any more.
+    /// Removes an engine from all entries, because it holds nothing any more.
     pub fn forget_engine(&mut self, engine: &BackEndName) {
         self.holders.retain(|_, holders| {
             holders.retain(|holder| holder.engine != *engine);
@@ -101,17 +102,19 @@
         });
     }
 
-    /// One engine does not hold one prefix any more; `true` when other nodes believe that it does.
+    /// Removes an engine from the holders of a prefix; returns `true` if other nodes have been told
+    /// that it is a holder.
     pub fn forget(&mut self, key: PartKey, engine: &BackEndName) -> bool {
         let Some(holders) = self.holders.get_mut(&key) else {
             return false;
         };
         let position = holders.iter().position(|holder| holder.engine == *engine);
-        position.is_some_and(|position| holders.swap_remove(position).is_told)
+        position.is_some_and(|position| holders.swap_remove(position).is_announced)
     }
 
-    /// Drops the eighth of the prefixes that were unused longest, so that this is done seldom.
-    fn forget_oldest(&mut self) {
+    /// Evicts the least recently used eighth of the prefixes at once, so that the sort is rarely
+    /// needed.
+    fn evict_oldest(&mut self) {
         let last_use = |holders: &[Holder]| holders.iter().map(|holder| holder.used_at).max();
         let mut times: Vec<_> = self.holders.values().map(|held| last_use(held)).collect();
         times.sort_unstable();
--- a/crates/gateway/src/quotas/table.rs
+++ b/crates/gateway/src/quotas/table.rs
@@ -1,4 +1,4 @@
-//! The accounts of a node.
+//! Accounts of all tenants at a node.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,29 +6,30 @@
 use ryerouter_core::identity::TenantName;
 use ryerouter_core::quota::{Account, Limit, PeerUsage, Peers, Request, Tolerance, Usage, Verdict};
 
-use super::{Standing, TenantKey, UsageNews, tenant_key};
+use super::{Standing, TenantKey, UsageUpdate, tenant_key};
 
-/// A node tells of a tenant when it is asked for this share of its even part of the limit. What is
-/// then told by nobody sums up to at most this share of the limit; as most of it is traffic far from
-/// its limit, and busy tenants come in bursts that are told, the error is much smaller.
-const TOLD_SHARE: f64 = 0.25;
-/// Digits of a rate that are told: more would be noise.
-const TOLD_DIGITS: i32 = 3;
+/// A node reports a tenant's usage if the requested rate reaches this share of the node's equal
+/// part of the limit. The unreported usage of all nodes adds up to at most this share of the limit.
+/// The actual error is much smaller, because most unreported traffic is far from its limit, and
+/// busy tenants come in bursts that are reported.
+const MIN_REPORTED_SHARE: f64 = 0.25;
+/// Number of significant digits of reported rates. More digits would only be noise.
+const REPORTED_DIGITS: i32 = 3;
 
-/// The accounts of a node, and what it knows of the others.
+/// Accounts of the tenants at a node, and the usage that other nodes report.
 #[derive(Debug)]
 pub struct Quotas {
     tolerance: Tolerance,
     started_at: Timestamp,
-    /// With the limits that they steer by.
+    /// Account of each tenant, with the limit that the account is controlled by.
     accounts: BTreeMap<TenantName, (Limit, Account)>,
     others: HashMap<TenantKey, PeerUsage>,
-    /// The other nodes, without what they use.
+    /// The other nodes, without their usage.
     peers: Peers,
 }
 
 impl Quotas {
-    /// A node without accounts; `now` is the start of its process.
+    /// Creates a node without accounts; `now` is the start of its process.
     pub fn new(tolerance: Tolerance, now: Timestamp) -> Self {
         Self {
             tolerance,
@@ -39,8 +40,9 @@
         }
     }
 
-    /// Takes what the other nodes use, how many they are, and which tenants have which limits; lets
-    /// time pass for all accounts, as what others use counts while it lasts.
+    /// Sets the other nodes, their usage and the tenants with their limits, and advances all
+    /// accounts to `now`. Usage of other nodes is charged over time, so the accounts must advance
+    /// even without requests.
     pub fn refresh<'a>(
         &mut self,
         peers: Peers,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Decides on a request of a tenant with this limit.
+    /// Decides on a request of the tenant.
     pub fn decide(
         &mut self,
         tenant: &TenantName,
@@ -73,34 +75,34 @@
         account.decide(limit, &peers, ask, now)
     }
 
-    /// Something that was admitted runs once more.
+    /// Charges for another run of a request that was admitted before.
     pub fn charge(&mut self, tenant: &TenantName, limit: &Limit, amount: f64, now: Timestamp) {
         let peers = self.peers_of(tenant);
         let (_, account) = self.account(tenant, limit, now);
         account.charge(&peers, amount, now);
     }
 
-    /// Something that was admitted has not run.
+    /// Refunds an admitted request that did not run.
     pub fn refund(&mut self, tenant: &TenantName, limit: &Limit, amount: f64, now: Timestamp) {
         let peers = self.peers_of(tenant);
         let (_, account) = self.account(tenant, limit, now);
         account.refund(&peers, amount, now);
     }
 
-    /// What this node tells of the tenants that come near their limits.
-    pub fn news(&self, now: Timestamp) -> Vec<UsageNews> {
+    /// Usage of the tenants near their limits, to be sent to the other nodes.
+    pub fn updates(&self, now: Timestamp) -> Vec<UsageUpdate> {
         let nodes = self.peers.nodes.max(1) as f64;
         let accounts = self.accounts.iter();
         let used = accounts.filter_map(|(tenant, (limit, account))| {
             let usage = account.usage(now);
-            let least = limit.per_second / nodes * TOLD_SHARE;
-            let is_told = f64::from(usage.asked) >= least;
-            is_told.then(|| UsageNews(tenant_key(tenant), rounded(usage)))
+            let min_requested = limit.per_second / nodes * MIN_REPORTED_SHARE;
+            let is_reported = f64::from(usage.asked) >= min_requested;
+            is_reported.then(|| UsageUpdate(tenant_key(tenant), rounded(usage)))
         });
         used.collect()
     }
 
-    /// How the tenants stand that come near their limits.
+    /// The tenants near their limits.
     pub fn near_limits(&self, now: Timestamp) -> impl Iterator<Item = Standing<'_>> {
         let standings = self
             .accounts
@@ -144,16 +146,16 @@
 
 fn rounded(usage: Usage) -> Usage {
     Usage {
-        asked: to_told_digits(usage.asked),
-        admitted: to_told_digits(usage.admitted),
+        asked: round_to_reported_digits(usage.asked),
+        admitted: round_to_reported_digits(usage.admitted),
     }
 }
 
-fn to_told_digits(value: f32) -> f32 {
+fn round_to_reported_digits(value: f32) -> f32 {
     if value <= 0.0 {
         return 0.0;
     }
     let digits = value.log10().floor() as i32 + 1;
-    let unit = 10_f32.powi(digits - TOLD_DIGITS);
+    let unit = 10_f32.powi(digits - REPORTED_DIGITS);
     (value / unit).round() * unit
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -18,7 +18,7 @@
 use super::live_answer::LiveAnswer;
 use super::request_progress::RequestProgress;
 use super::silence_cause::SilenceCause;
-use crate::engines::{AwaitedPart, EngineLoad, InFlight};
+use crate::engines::{EngineLoad, InFlight, ResponsePhase};
 use crate::gateway::Gateway;
 use crate::placement::Placement;
 use crate::poison::Run;
@@ -217,8 +217,8 @@
         engine.note_answer_to(sent_at);
     }
     let route = &request.route.name;
-    let times = &mut state.part_times;
-    times.note(&request.pool, route, AwaitedPart::Head, time_to_head);
+    let times = &mut state.phase_times;
+    times.note(&request.pool, route, ResponsePhase::Head, time_to_head);
 }
 
 /// Records that the engine accepted the request, and the weights stated in its answer.
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -18,7 +18,7 @@
 use super::silence_cause::SilenceCause;
 use super::silence_detector::SilenceDetector;
 use crate::catalogue::RequestKind;
-use crate::engines::AwaitedPart;
+use crate::engines::ResponsePhase;
 use crate::gateway::Gateway;
 use crate::placement::{Placement, PlacementRequest};
 use crate::poison::Run;
@@ -200,7 +200,7 @@
         if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.max_attempts {
             return attempt.await;
         }
-        let phase = AwaitedPart::Head;
+        let phase = ResponsePhase::Head;
         let detector = SilenceDetector::new(gateway, request, &placement.engine, phase, since);
         let Some(detector) = detector else {
             return attempt.await;
@@ -252,7 +252,7 @@
         &self,
         placement: &Placement,
         detector: &SilenceDetector,
-        phase: AwaitedPart,
+        phase: ResponsePhase,
         why: SilenceCause,
     ) -> AttemptError {
         let gateway = &self.gateway;
@@ -262,7 +262,7 @@
             .note_silent(&placement.engine, detector.since);
         let (pool, route) = (&self.request.pool, &self.request.route.name);
         // The answer takes at least this long. If all answers become slower, these values raise the limit.
-        let times = &mut gateway.state_mut().part_times;
+        let times = &mut gateway.state_mut().phase_times;
         times.note(pool, route, phase, silent);
         warn!(gateway.log(), "attempt_given_up"; "request" => &self.request.caller.id,
             "engine" => %placement.engine, "why" => %why, "awaited" => ?phase,
--- a/crates/gateway/src/serve/silence_detector.rs
+++ b/crates/gateway/src/serve/silence_detector.rs
@@ -7,7 +7,7 @@
 
 use super::accepted_request::AcceptedRequest;
 use super::silence_cause::SilenceCause;
-use crate::engines::AwaitedPart;
+use crate::engines::ResponsePhase;
 use crate::gateway::Gateway;
 use crate::upstream::ConnectionUse;
 
@@ -36,17 +36,17 @@
         gateway: &Gateway,
         request: &AcceptedRequest,
         engine: &BackEndName,
-        phase: AwaitedPart,
+        phase: ResponsePhase,
         since: Timestamp,
     ) -> Option<Self> {
         let state = gateway.state();
-        let times = &state.part_times;
+        let times = &state.phase_times;
         let estimate = times.estimate(&request.pool, &request.route.name, phase)?;
         Some(Self {
             engine: engine.clone(),
             since,
-            limit_with_later_answers: estimate.longest_while_others_are_answered(),
-            limit_without_answers: estimate.longest_without_news(),
+            limit_with_later_answers: estimate.max_while_others_answered(),
+            limit_without_answers: estimate.max_without_response(),
         })
     }
 
@@ -80,6 +80,6 @@
     pub(super) fn has_later_answers(&self, gateway: &Gateway) -> bool {
         let state = gateway.state();
         let engine = state.engines.get(&self.engine);
-        engine.is_some_and(|engine| engine.has_answered_what_was_sent_after(self.since))
+        engine.is_some_and(|engine| engine.has_answered_request_sent_after(self.since))
     }
 }
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -21,7 +21,7 @@
 use super::request_phase::RequestPhase;
 use super::silence_cause::SilenceCause;
 use super::silence_detector::SilenceDetector;
-use crate::engines::AwaitedPart;
+use crate::engines::ResponsePhase;
 use crate::placement::Placement;
 use crate::relay::{EventSplitter, RelayFault, StreamEnd};
 use crate::release::AnswerEnd;
@@ -42,7 +42,7 @@
     /// Detects silence of the engine; `None` before enough answers have been seen.
     detector: Option<SilenceDetector>,
     /// The phase of the answer that is awaited.
-    awaited: AwaitedPart,
+    awaited: ResponsePhase,
     awaited_since: Timestamp,
     /// Milliseconds from sending the request to the head of the first engine's answer.
     head_ms: u64,
@@ -70,7 +70,7 @@
     ) -> Self {
         Self {
             detector: None,
-            awaited: AwaitedPart::FirstEvent,
+            awaited: ResponsePhase::FirstEvent,
             awaited_since: Timestamp::ZERO,
             head_ms: live.time_to_head.as_millis() as u64,
             last_event_id: forwarder.request.caller.last_event_id.clone(),
@@ -88,7 +88,7 @@
 
     /// Creates the caller's answer, with the head that the first engine sent and the events as they arrive.
     pub(super) fn into_response(mut self) -> Response<AnswerBody> {
-        self.await_phase(AwaitedPart::FirstEvent);
+        self.await_phase(ResponsePhase::FirstEvent);
         let live = self.live.as_mut().expect("a new relay holds an answer");
         let (status, headers) = (live.status, std::mem::take(&mut live.headers));
         let events = unfold(self, |mut relay| async move {
@@ -187,7 +187,7 @@
     }
 
     /// Starts to wait for another phase of the answer.
-    fn await_phase(&mut self, phase: AwaitedPart) {
+    fn await_phase(&mut self, phase: ResponsePhase) {
         self.awaited = phase;
         // The connection has carried the head of the answer, so it counts as new: only answers of the engine to later
         // requests make it suspect.
@@ -258,7 +258,7 @@
                     "request" => &self.forwarder.request.caller.id,
                     "engine" => %live.placement.engine, "after_event" => last_event_id);
                 self.live = Some(live);
-                self.await_phase(AwaitedPart::FirstEvent);
+                self.await_phase(ResponsePhase::FirstEvent);
                 Ok(())
             }
             Ok(mut live) => {
@@ -278,20 +278,20 @@
 
     /// Records the arrival of the first event of an engine's answer.
     fn note_first_event(&mut self) {
-        if self.awaited != AwaitedPart::FirstEvent {
+        if self.awaited != ResponsePhase::FirstEvent {
             return;
         }
         let gateway = &self.forwarder.gateway;
         let took = gateway.clock().now().since(self.awaited_since);
-        self.note_time(AwaitedPart::FirstEvent, took);
-        self.await_phase(AwaitedPart::Pause);
+        self.note_time(ResponsePhase::FirstEvent, took);
+        self.await_phase(ResponsePhase::Pause);
     }
 
-    fn note_time(&self, phase: AwaitedPart, took: Duration) {
+    fn note_time(&self, phase: ResponsePhase, took: Duration) {
         let RequestForwarder {
             gateway, request, ..
         } = &self.forwarder;
-        let times = &mut gateway.state_mut().part_times;
+        let times = &mut gateway.state_mut().phase_times;
         times.note(&request.pool, &request.route.name, phase, took);
     }
 
@@ -305,7 +305,7 @@
         let Some(live) = &mut self.live else {
             return;
         };
-        live.in_flight.prompt_read();
+        live.in_flight.note_prefill_done();
         self.forwarder.progress.set_phase(RequestPhase::Stream);
         let elapsed_ms = self.active.elapsed_ms();
         if self.has_begun {
@@ -339,7 +339,7 @@
         self.active.end("answered");
         if self.resume_count == 0 {
             let pause = Duration::from_millis(self.longest_pause_ms);
-            self.note_time(AwaitedPart::Pause, pause);
+            self.note_time(ResponsePhase::Pause, pause);
         }
         let Some(left_out) = gateway.sampler().admit(gateway.clock().now()) else {
             return;
--- a/crates/gateway/tests/releases_evidence.rs
+++ b/crates/gateway/tests/releases_evidence.rs
@@ -93,8 +93,8 @@
         assert_eq!(counts.target(), expected);
         assert_eq!(counts.present(), ONE_GOOD);
         let sent = bench.bench.gateway.state();
-        let account = sent.releases.of(&pool()).unwrap().account;
-        assert_eq!((account.all(), account.target()), (1, 1));
+        let budget = sent.releases.of(&pool()).unwrap().budget;
+        assert_eq!((budget.all(), budget.target()), (1, 1));
         let requests = &bench.bench.gateway.metrics().release_requests;
         let sent_to = |version| requests.with_label_values(&["pool", version]).get();
         assert_eq!((sent_to("target"), sent_to("present")), (1, 1));
@@ -404,7 +404,7 @@
             let ended = node.clock().now();
             let mut state = node.state_mut();
             let engine = state.engines.get_mut(&name).expect("engine");
-            engine.note_ended(watch.sent_at, ended);
+            engine.note_crashed(watch.sent_at, ended);
         }
         advance(USUAL).await;
         let later = sent(&node, "new-1", TARGET);
--- a/crates/gateway/tests/weights.rs
+++ b/crates/gateway/tests/weights.rs
@@ -6,7 +6,7 @@
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::{BackEndName, PoolName};
-use ryerouter_gateway::engines::{BeginTimes, EngineLoad, EngineTable};
+use ryerouter_gateway::engines::{EngineLoad, EngineTable, StartDelays};
 use ryerouter_gateway::rollout::{
     EngineReport, NamedAt, OrderOutcome, RolloutAction, RolloutPlanner, RolloutSettings,
     WeightsDeadlines,
@@ -350,14 +350,14 @@
 
 #[test]
 fn slowest_begin_lately_fades() {
-    let mut times = BeginTimes::default();
+    let mut times = StartDelays::default();
     let pool = PoolName::new(POOL);
     times.note(&pool, Duration::from_millis(1_200), at(0));
     times.note(&pool, Duration::from_millis(300), at(100));
-    assert_eq!(times.slowest(&pool, at(0)).as_millis(), 1_200);
-    assert_eq!(times.slowest(&pool, at(2_000)).as_millis(), 600);
+    assert_eq!(times.max_recent(&pool, at(0)).as_millis(), 1_200);
+    assert_eq!(times.max_recent(&pool, at(2_000)).as_millis(), 600);
     times.note(&pool, Duration::from_millis(700), at(2_000));
-    assert_eq!(times.slowest(&pool, at(2_000)).as_millis(), 700);
+    assert_eq!(times.max_recent(&pool, at(2_000)).as_millis(), 700);
 }
 
 #[test]
