--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -4,14 +4,14 @@
 
 use super::readable::{readable, readable_or_default};
 use super::{
-    ConfigurationProof, CopyProof, EngineLifeNews, EngineLoadNews, HolderNews, KvStoreNews,
-    LeaseNews, MemberAddress, MessageEcho, NamedNews, NodeIdentity, NodeState, SignalNews,
-    WeightsNews,
+    ConfigurationFreshness, EngineIncarnationUpdate, EngineLoadUpdate, HolderUpdate, KvStoreUpdate,
+    LeaseUpdate, MemberAddress, MessageEcho, NamedWeightsUpdate, NodeIdentity, NodeState,
+    ReplicaFreshness, SignalUpdate, WeightsUpdate,
 };
 use crate::placement::ReadingNews;
 use crate::poison::PoisonNews;
 use crate::quotas::UsageNews;
-use crate::release::{EvidenceNews, ReleaseNews};
+use crate::release::{EvidenceUpdate, ReleaseUpdate};
 
 /// One datagram between nodes: a JSON line, with short keys, since bytes between zones are dear.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -40,11 +40,11 @@
     /// The lease of orders, once the sender has seen it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "l")]
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseUpdate>,
     /// When the sender's configuration was current.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "p")]
-    pub proof: Option<ConfigurationProof>,
+    pub proof: Option<ConfigurationFreshness>,
     /// How long ago the newest question to the source was asked that was answered at once, as far as
     /// the sender knows, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -53,7 +53,7 @@
     /// When the sender's copies of other items were current.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "c", deserialize_with = "readable")]
-    pub copies: Vec<CopyProof>,
+    pub copies: Vec<ReplicaFreshness>,
     /// How many other nodes the sender has heard of; a node that was just started takes the size of
     /// its deployment from this.
     #[serde(rename = "s", default)]
@@ -69,16 +69,16 @@
     /// Weights that were named lately, told with the introduction.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "n")]
-    pub named: Vec<NamedNews>,
+    pub named: Vec<NamedWeightsUpdate>,
     /// The lives of engines of this message that have begun again lately; news of such an engine
     /// without its life are passed over.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "i")]
-    pub lives: Vec<EngineLifeNews>,
+    pub lives: Vec<EngineIncarnationUpdate>,
     /// All work of the sender at engines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "o")]
-    pub loads: Vec<EngineLoadNews>,
+    pub loads: Vec<EngineLoadUpdate>,
     /// What tenants that come near their limits use at the sender.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "x")]
@@ -90,23 +90,23 @@
     /// The states of the stores of kept KV cache that the sender asks.
     #[serde(rename = "k", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
-    pub kv_stores: Vec<KvStoreNews>,
+    pub kv_stores: Vec<KvStoreUpdate>,
     /// Prefixes that engines have read since the last message.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "h")]
-    pub holders: Vec<HolderNews>,
+    pub holders: Vec<HolderUpdate>,
     /// Prefixes that engines have dropped since the last message.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "d")]
-    pub dropped: Vec<HolderNews>,
+    pub dropped: Vec<HolderUpdate>,
     /// The newest grants of releases.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "b", deserialize_with = "readable")]
-    pub releases: Vec<ReleaseNews>,
+    pub releases: Vec<ReleaseUpdate>,
     /// Answers that the sender has seen in releases.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "v")]
-    pub evidence: Vec<EvidenceNews>,
+    pub evidence: Vec<EvidenceUpdate>,
     /// Requests under which engines ended, when that is news, and with the introduction those held back.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "z", deserialize_with = "readable")]
@@ -114,7 +114,7 @@
     /// What engines have said of themselves in answers, when that is news, and with the introduction all of it by turns.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "S", deserialize_with = "readable")]
-    pub signals: Vec<SignalNews>,
+    pub signals: Vec<SignalUpdate>,
     /// Whether the sender knows all orders of releases, told with the introduction.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "j")]
@@ -122,7 +122,7 @@
     /// Changes of weights since the last message.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "w")]
-    pub weights: Vec<WeightsNews>,
+    pub weights: Vec<WeightsUpdate>,
 }
 
 impl PeerMessage {
--- a/crates/gateway/src/peers/signal_news.rs
+++ b/crates/gateway/src/peers/signal_news.rs
@@ -9,7 +9,7 @@
 
 /// What the sender has heard an engine say of itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SignalNews {
+pub struct SignalUpdate {
     /// The engine.
     #[serde(rename = "e")]
     pub engine: BackEndName,
@@ -27,7 +27,7 @@
     pub limit_age_ms: Option<u64>,
 }
 
-impl SignalNews {
+impl SignalUpdate {
     /// News that are told now.
     pub fn new(
         engine: &BackEndName,
--- a/crates/gateway/src/peers/zone_news.rs
+++ b/crates/gateway/src/peers/zone_news.rs
@@ -4,11 +4,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::readable::{readable, readable_or_default};
-use super::{EngineLifeNews, EngineLoadNews, HolderNews, SignalNews, WeightsNews};
+use super::{EngineIncarnationUpdate, EngineLoadUpdate, HolderUpdate, SignalUpdate, WeightsUpdate};
 use crate::placement::ReadingNews;
 use crate::poison::PoisonNews;
 use crate::quotas::UsageNews;
-use crate::release::{EvidenceNews, ReleaseNews};
+use crate::release::{EvidenceUpdate, ReleaseUpdate};
 
 /// To whom the receiver of zone news passes them on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 /// its region, which passes them on within its own; see docs/design/reading.md. Bytes between regions
 /// are dearer still, so to another region they go once, and are passed on from there to its zones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ZoneNews {
+pub struct ZoneUpdate {
     /// The zone that tells.
     #[serde(rename = "z")]
     pub zone: ZoneName,
@@ -45,10 +45,10 @@
     /// The lives of engines of these news that have begun again lately; news of such an engine without
     /// its life are passed over.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
-    pub lives: Vec<EngineLifeNews>,
+    pub lives: Vec<EngineIncarnationUpdate>,
     /// All work at engines of the nodes of that zone, now and then.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub loads: Option<Vec<EngineLoadNews>>,
+    pub loads: Option<Vec<EngineLoadUpdate>>,
     /// What tenants that come near their limits use at the nodes of that zone, with the work.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub usages: Vec<UsageNews>,
@@ -60,14 +60,14 @@
     pub silent: usize,
     /// Prefixes that engines have read.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
-    pub holders: Vec<HolderNews>,
+    pub holders: Vec<HolderUpdate>,
     /// The newest grants of releases.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
-    pub releases: Vec<ReleaseNews>,
+    pub releases: Vec<ReleaseUpdate>,
     /// Answers that the nodes of that zone have seen in releases, with the work.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub evidence: Vec<EvidenceNews>,
+    pub evidence: Vec<EvidenceUpdate>,
     /// Requests under which engines ended.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
@@ -75,10 +75,10 @@
     /// What engines have said of themselves in answers.
     #[serde(rename = "S", default, skip_serializing_if = "Vec::is_empty")]
     #[serde(deserialize_with = "readable")]
-    pub signals: Vec<SignalNews>,
+    pub signals: Vec<SignalUpdate>,
     /// Engines that load weights, or have loaded them.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub weights: Vec<WeightsNews>,
+    pub weights: Vec<WeightsUpdate>,
 }
 
 // The signature is that of the serializer's condition.
--- a/crates/gateway/src/peers/zone_traffic.rs
+++ b/crates/gateway/src/peers/zone_traffic.rs
@@ -7,7 +7,7 @@
 use ryerouter_core::identity::{BackEndName, ZoneName};
 use ryerouter_core::quota::Others;
 
-use super::{EngineLoadNews, ZoneNews};
+use super::{EngineLoadUpdate, ZoneUpdate};
 use crate::engines::EngineLoad;
 use crate::placement::ReadingNews;
 use crate::quotas::{TenantKey, UsageNews};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct Traffic {
     told_at: Timestamp,
-    loads: Vec<EngineLoadNews>,
+    loads: Vec<EngineLoadUpdate>,
     usages: Vec<UsageNews>,
     reading: Vec<ReadingNews>,
     silent: usize,
@@ -39,7 +39,7 @@
 
 impl ZoneTraffic {
     /// A zone tells what its nodes do.
-    pub fn note(&mut self, news: &ZoneNews, loads: Vec<EngineLoadNews>, now: Timestamp) {
+    pub fn note(&mut self, news: &ZoneUpdate, loads: Vec<EngineLoadUpdate>, now: Timestamp) {
         let traffic = Traffic {
             told_at: now,
             loads,
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -65,7 +65,7 @@
     engine: BackEndName,
     address: SocketAddr,
 ) {
-    let life = gateway.life_of(&engine);
+    let life = gateway.incarnation_of(&engine);
     let known = progress.borrow().cursors.get(&engine).copied();
     let known = known.filter(|(_, counted_in)| *counted_in == life);
     let since = known.map(|(cursor, _)| cursor);
@@ -75,7 +75,7 @@
     let Some(told) = told else {
         return;
     };
-    if gateway.life_of(&engine) != life {
+    if gateway.incarnation_of(&engine) != life {
         // It has begun again meanwhile: this may be about either life.
         progress.cursors.remove(&engine);
         return;
--- a/crates/gateway/src/placement/kv_store_watch.rs
+++ b/crates/gateway/src/placement/kv_store_watch.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use crate::gateway::Gateway;
-use crate::peers::{KvStoreNews, KvStoreState};
+use crate::peers::{KvStoreState, KvStoreUpdate};
 
 /// Time between questions.
 const ASK_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -32,7 +32,7 @@
                 None => probe.epoch(address).await,
             };
             let state = epoch.map_or(KvStoreState::Down, KvStoreState::Up);
-            gateway.note_kv_store(KvStoreNews(address, state));
+            gateway.note_kv_store(KvStoreUpdate(address, state));
         }
     }
 }
--- a/crates/gateway/src/release/director.rs
+++ b/crates/gateway/src/release/director.rs
@@ -162,7 +162,7 @@
     fn begin(&self, release: &OrderedRelease, now: Timestamp) -> Course {
         let order = &release.order;
         let bounds = self.bounds.clone();
-        let resumed = self.gateway.resumed_trial(order, &bounds);
+        let resumed = self.gateway.resumed_release(order, &bounds);
         let is_resumed = resumed.is_some();
         let trial = resumed.unwrap_or_else(|| Progress::new(order.clone(), bounds, now));
         info!(self.gateway.log(), "release_ordered"; "pool" => %order.pool,
--- a/crates/gateway/src/release/evidence_news.rs
+++ b/crates/gateway/src/release/evidence_news.rs
@@ -16,4 +16,4 @@
 
 /// All that the sender has seen in a release since it heard of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvidenceNews(pub OrderKey, pub Counts);
+pub struct EvidenceUpdate(pub OrderKey, pub Counts);
--- a/crates/gateway/src/release/order_follower.rs
+++ b/crates/gateway/src/release/order_follower.rs
@@ -212,7 +212,7 @@
 
 async fn until_candidate(gateway: &Gateway) {
     until(gateway, CANDIDATE_FOR, || {
-        gateway.may_follow_orders() && gateway.knows_candidates()
+        gateway.may_follow_orders() && gateway.knows_order_candidates()
     })
     .await;
 }
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -60,7 +60,7 @@
     }
 
     fn is_list_due(&mut self) -> bool {
-        if !self.gateway.misses_orders() {
+        if !self.gateway.lacks_orders() {
             self.next_list = None;
             return false;
         }
@@ -97,7 +97,7 @@
         let is_following = self.orders.borrow().revision().is_some();
         let mut lapsed = match is_following {
             true => Vec::new(),
-            false => self.gateway.lapsed_grants(),
+            false => self.gateway.expired_grants(),
         };
         self.next_reads
             .retain(|pool, _| lapsed.iter().any(|grant| grant.order.pool == *pool));
--- a/crates/gateway/src/release/release_news.rs
+++ b/crates/gateway/src/release/release_news.rs
@@ -5,7 +5,7 @@
 
 /// What the director of a release allows, as one node tells another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReleaseNews {
+pub struct ReleaseUpdate {
     /// What it allows.
     #[serde(rename = "g")]
     pub grant: Grant,
--- a/crates/gateway/src/rollout/rollout_driver.rs
+++ b/crates/gateway/src/rollout/rollout_driver.rs
@@ -18,7 +18,7 @@
 };
 use crate::engines::ToldLife;
 use crate::gateway::Gateway;
-use crate::peers::LeaseNews;
+use crate::peers::LeaseUpdate;
 use crate::source::LeaseStore;
 
 /// Name of the lease of orders.
@@ -80,7 +80,7 @@
     fn tick(&mut self) {
         self.gateway.remove_unlisted();
         self.set_held(self.held);
-        for (pool, requests) in self.gateway.take_stale_starts() {
+        for (pool, requests) in self.gateway.take_stale_weight_starts() {
             self.planner.note_stale(&pool, requests);
         }
         let mut questions = Vec::new();
@@ -92,7 +92,7 @@
             self.tell_lease(LeaseEvent::Candidacy(false));
             return;
         }
-        let heard = self.gateway.state_mut().heard_lease.take();
+        let heard = self.gateway.state_mut().received_lease.take();
         if let Some(news) = heard {
             self.tell_lease(LeaseEvent::Heard {
                 record: news.record,
@@ -100,7 +100,7 @@
                 age: Duration::from_millis(news.age_ms),
             });
         }
-        let is_needed = self.gateway.has_engines_behind()
+        let is_needed = self.gateway.has_outdated_engines()
             || self.gateway.has_release_work()
             || !self.planner.is_idle();
         let is_candidate = is_needed && self.gateway.should_give_orders();
@@ -123,7 +123,7 @@
         match event {
             RolloutEvent::StoreAnswered(answer) => {
                 let is_answered = !matches!(answer, StoreAnswer::Failed(_));
-                self.gateway.note_lease_answer(is_answered);
+                self.gateway.note_lease_store_answer(is_answered);
                 self.tell_lease(LeaseEvent::StoreAnswered(answer));
             }
             RolloutEvent::Ordered(engine, life, outcome) => {
@@ -150,7 +150,7 @@
     /// Whether an engine is still in the life in which it was asked. If not, the answer says nothing of
     /// what it does now, and an order to that life is over.
     fn is_in_life(&mut self, engine: &BackEndName, life: Option<Incarnation>) -> bool {
-        let known = self.gateway.life_of(engine);
+        let known = self.gateway.incarnation_of(engine);
         let is_same = ToldLife::new(known, life) == ToldLife::Same;
         if !is_same {
             info!(self.gateway.log(), "former_life_answered"; "engine" => %engine);
@@ -165,7 +165,7 @@
         report: Option<EngineReport>,
     ) -> Option<EngineReport> {
         let report = report?;
-        let told = self.gateway.take_report_life(engine, &report);
+        let told = self.gateway.take_report_incarnation(engine, &report);
         (told != ToldLife::Former).then_some(report)
     }
 
@@ -201,8 +201,8 @@
         state.gives_orders = valid.is_some();
         state.order_fence = fence(valid);
         state.order_lease_until = valid.map(|held| held.valid_until);
-        state.seen_lease = self.lease.last_seen().map(|(record, version, seen_at)| {
-            let news = LeaseNews {
+        state.observed_lease = self.lease.last_seen().map(|(record, version, seen_at)| {
+            let news = LeaseUpdate {
                 record: record.clone(),
                 version,
                 age_ms: 0,
@@ -246,7 +246,7 @@
                     let Some(address) = self.gateway.address_of(&engine) else {
                         continue;
                     };
-                    let life = self.gateway.life_of(&engine);
+                    let life = self.gateway.incarnation_of(&engine);
                     let (orders, sender) = (Rc::clone(&self.orders), self.sender.clone());
                     spawn_local(async move {
                         let report = orders.report(engine.clone(), address).await;
@@ -267,7 +267,7 @@
         let now = self.gateway.clock().now();
         let lease = self.valid_lease(now);
         let address = self.gateway.address_of(&order.engine);
-        let life = self.gateway.life_of(&order.engine);
+        let life = self.gateway.incarnation_of(&order.engine);
         let (Some(lease), Some(address)) = (lease, address) else {
             warn!(self.gateway.log(), "order_withheld"; "engine" => %order.engine);
             let outcome = OrderOutcome::Rejected;
--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -26,7 +26,7 @@
     ) -> Self {
         Self {
             gateway: Rc::clone(gateway),
-            watch: gateway.watch_answer(request, placement),
+            watch: gateway.start_answer_timing(request, placement),
         }
     }
 
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -72,7 +72,7 @@
     let head_after = gateway.clock().now().since(sent_at);
     note_head(gateway, request, placement, sent_at, head_after);
     let facts = gateway.dialect().read_answer(&answer.head);
-    if speaks_of_its_engine(request, &answer, &facts) && gateway.is_in_life_of(placement) {
+    if speaks_of_its_engine(request, &answer, &facts) && gateway.is_same_incarnation(placement) {
         gateway.note_signal(&request.caller.id, &placement.engine, &facts, sent_at);
     }
     match judge_head(request, &answer, &facts) {
@@ -205,7 +205,7 @@
     sent_at: Timestamp,
     head_after: Duration,
 ) {
-    let is_in_life = gateway.is_in_life_of(placement);
+    let is_in_life = gateway.is_same_incarnation(placement);
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
     if let Some(engine) = engine.filter(|_| is_in_life) {
@@ -223,7 +223,7 @@
     placement: &Placement,
     facts: &AnswerFacts,
 ) {
-    if !gateway.is_in_life_of(placement) {
+    if !gateway.is_same_incarnation(placement) {
         return;
     }
     let mut state = gateway.state_mut();
@@ -248,7 +248,7 @@
     let idle_timeout = facts.idle_timeout;
     spawn_local(async move {
         let rest = timeout(REFUSAL_REST, answer.body.collect()).await;
-        if matches!(rest, Ok(Ok(_))) && gateway.is_in_life_of(&placement) {
+        if matches!(rest, Ok(Ok(_))) && gateway.is_same_incarnation(&placement) {
             gateway
                 .upstream()
                 .keep(&placement.engine, answer.connection, idle_timeout);
@@ -289,7 +289,7 @@
     let expected = model.zip(placement.weights);
     let now = gateway.clock().now();
     // How its former life ended says nothing of an engine that has begun again.
-    let is_in_life = gateway.is_in_life_of(placement);
+    let is_in_life = gateway.is_same_incarnation(placement);
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
     if let Some(engine) = engine.filter(|_| is_in_life) {
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -98,7 +98,7 @@
                 Ok(whole) => {
                     self.note_success(&placement);
                     if !whole.status.is_server_error() {
-                        self.gateway.note_good_run(&self.request);
+                        self.gateway.note_successful_run(&self.request);
                     }
                     return Ok(FirstAnswer::Whole(Box::new(whole)));
                 }
@@ -121,7 +121,7 @@
         loop {
             // One that ends its engines comes again under other ids and at other nodes, where neither its attempts nor
             // the retry budget count: only what all nodes know of it keeps it from the next engine.
-            let is_known = self.gateway.knows_poison(&self.request).await;
+            let is_known = self.gateway.wait_for_poison_records(&self.request).await;
             if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
                 return Err(self.ends_engines(NO_ENGINE_RETRY));
             }
@@ -177,7 +177,7 @@
     fn verdict(&self) -> Verdict {
         match self.is_trial && !self.may_have_run {
             true => Verdict::Trial,
-            false => self.gateway.verdict_on(&self.request),
+            false => self.gateway.poison_verdict(&self.request),
         }
     }
 
@@ -227,7 +227,7 @@
         let why = limits.verdict(&self.gateway, self.held.used.get())?;
         let has_successor =
             self.has_other_engine(&limits.engine) || limits.answers_later(&self.gateway);
-        if has_successor && self.gateway.spend_spare_retry(&self.request.pool) {
+        if has_successor && self.gateway.spend_speculative_retry(&self.request.pool) {
             return Some(why);
         }
         if !self.held.is_doubted.replace(true) {
@@ -330,7 +330,7 @@
 
     /// An attempt ended well.
     pub(super) fn note_success(&self, placement: &Placement) {
-        let is_in_life = self.gateway.is_in_life_of(placement);
+        let is_in_life = self.gateway.is_same_incarnation(placement);
         let mut state = self.gateway.state_mut();
         let engine = state.engines.get_mut(&placement.engine);
         if let Some(engine) = engine.filter(|_| is_in_life) {
@@ -358,7 +358,7 @@
 
     /// At an engine that has ended a trial tells nothing, and how often it may be made is bounded: it waits for another one.
     fn place_trial(&self) -> Option<Placement> {
-        let mut avoided = self.gateway.ended_engines(&self.request.pool);
+        let mut avoided = self.gateway.crashed_engines(&self.request.pool);
         avoided.extend(self.tried.iter().cloned());
         self.place_outside(&avoided)
     }
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -116,7 +116,7 @@
         return Ok(None);
     }
     let now = gateway.clock().now();
-    if let Some(limit) = gateway.settings().most_unproven {
+    if let Some(limit) = gateway.settings().max_unconfirmed_age {
         let freshness = gateway.state().freshness();
         if !freshness.is_within(limit, now) {
             let age = freshness.age(now).map_or(0, |age| age.as_millis());
--- a/crates/gateway/src/serve/list_state.rs
+++ b/crates/gateway/src/serve/list_state.rs
@@ -50,7 +50,7 @@
             let ages = &gateway.metrics().list_age_seconds;
             ages.observe(age.as_secs_f64());
         }
-        let bound = gateway.settings().catalogue_bound;
+        let bound = gateway.settings().propagation_limit;
         let is_old = self.age.is_some_and(|age| age >= bound);
         if !is_old && !self.is_behind {
             return;
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -91,7 +91,7 @@
 
     /// Keeps the connection of an answer that was read to its end.
     pub(super) fn release(self, gateway: &Gateway) -> Placement {
-        if self.keeps_connection && gateway.is_in_life_of(&self.placement) {
+        if self.keeps_connection && gateway.is_same_incarnation(&self.placement) {
             let engine = &self.placement.engine;
             gateway
                 .upstream()
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -318,7 +318,7 @@
         let gateway = Rc::clone(&self.exchange.gateway);
         let placement = live.release(&gateway);
         self.exchange.note_success(&placement);
-        gateway.note_good_run(&self.exchange.request);
+        gateway.note_successful_run(&self.exchange.request);
         self.active.end("answered");
         if self.resumed == 0 {
             let pause = Duration::from_millis(self.longest_pause_ms);
--- a/crates/gateway/src/source/copy_prober.rs
+++ b/crates/gateway/src/source/copy_prober.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::{Backoff, CatalogueSource, ItemBatch, ItemKind, SourceError};
-use crate::gateway::{Gateway, Way};
+use crate::gateway::{Gateway, SourceRequestKind};
 
 /// Time between looks at the age of the proof.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
@@ -33,14 +33,14 @@
 ) {
     let mut failures = 0;
     loop {
-        while !gateway.needs_copy_proof(kind) {
+        while !gateway.needs_freshness_check(kind) {
             gateway.clock().look(LOOK_INTERVAL).await;
         }
         match ask(&gateway, source.as_ref(), kind).await {
             Ok(()) => failures = 0,
             Err(error) => {
                 failures += 1;
-                gateway.note_unproven(kind, &error, failures);
+                gateway.note_freshness_check_failed(kind, &error, failures);
                 info!(gateway.log(), "copy_unproven"; "kind" => %kind, "failures" => failures,
                     "error" => %error);
                 sleep(BACKOFF.pause_after(failures)).await;
@@ -60,9 +60,9 @@
     let question = source.watch(kind, revision, Duration::ZERO);
     let answer = timeout(ANSWER_LIMIT, question).await;
     let answer = answer.unwrap_or(Err(SourceError::NoAnswer));
-    gateway.count_question(kind, Way::Probe, answer.is_ok());
+    gateway.count_source_request(kind, SourceRequestKind::Probe, answer.is_ok());
     let batch = answer?;
-    gateway.note_answer_time(asked_at, Duration::ZERO);
+    gateway.note_response_time(asked_at, Duration::ZERO);
     if batch.revision < revision {
         debug!(gateway.log(), "copy_proof_too_old"; "kind" => %kind,
             "revision" => batch.revision, "known" => revision);
@@ -76,10 +76,10 @@
 
 /// Changes that a watch should have brought are what other nodes may lack as well.
 fn take(gateway: &Gateway, kind: ItemKind, batch: ItemBatch, asked_at: Timestamp) {
-    gateway.log_changes(kind, Way::Probe, &batch, asked_at);
+    gateway.log_source_changes(kind, SourceRequestKind::Probe, &batch, asked_at);
     let has_changes = !batch.changes.is_empty();
     gateway.take_batch(kind, batch, Some(asked_at));
     if has_changes {
-        gateway.tell_peers_soon();
+        gateway.request_peer_send();
     }
 }
--- a/crates/gateway/src/source/follower.rs
+++ b/crates/gateway/src/source/follower.rs
@@ -14,7 +14,7 @@
 use super::copy_prober::keep_copy_fresh;
 use super::lists::{Lists, read_list};
 use super::{Backoff, CatalogueSource, Consistency, ItemKind, List, Replica, SourceError};
-use crate::gateway::{Gateway, Role, SETTLING, Way};
+use crate::gateway::{Gateway, PEER_DISCOVERY_TIME, SourceRequestKind, SourceRole};
 
 /// First wait after a failure; doubles up to [`FollowSettings::longest_pause`].
 const FIRST_PAUSE: Duration = Duration::from_millis(60);
@@ -130,7 +130,7 @@
             lists.ask(source, self.kind, self.consistency(), asked_at);
             let listed = lists.next(self.settings.answer).await;
             self.gateway
-                .count_question(self.kind, Way::List, listed.is_ok());
+                .count_source_request(self.kind, SourceRequestKind::List, listed.is_ok());
             match listed {
                 Ok(list) if self.revision() <= Some(list.revision) => {
                     self.note_answer();
@@ -150,7 +150,7 @@
         let gateway = &self.gateway;
         // A stale list may come from a part of the source that answers while the rest stands still.
         if list.consistency == Consistency::Linearizable {
-            gateway.note_answer_time(list.asked_at, Duration::ZERO);
+            gateway.note_response_time(list.asked_at, Duration::ZERO);
         }
         gateway.take_list_of(self.kind, list);
     }
@@ -199,13 +199,17 @@
                 }
             };
             self.gateway
-                .count_question(self.kind, Way::Watch, answer.is_ok());
+                .count_source_request(self.kind, SourceRequestKind::Watch, answer.is_ok());
             match answer {
                 Ok(batch) if batch.revision >= revision => {
                     self.note_answer();
-                    self.gateway.note_answer_time(asked_at, wait);
-                    self.gateway
-                        .log_changes(self.kind, Way::Watch, &batch, asked_at);
+                    self.gateway.note_response_time(asked_at, wait);
+                    self.gateway.log_source_changes(
+                        self.kind,
+                        SourceRequestKind::Watch,
+                        &batch,
+                        asked_at,
+                    );
                     self.gateway.take_batch(self.kind, batch, Some(asked_at));
                 }
                 Ok(_) | Err(SourceError::HistoryGone) => {
@@ -224,10 +228,10 @@
     }
 
     /// Whether another node has told of a newer configuration. Its content comes from the source as
-    /// long as that answers; see [`Gateway::next_fetch`] for when it does not.
+    /// long as that answers; see [`Gateway::next_configuration_fetch`] for when it does not.
     fn is_behind_another_node(&self) -> bool {
         let is_behind = self.gateway.state().replicas.of(self.kind).is_behind();
-        let is_relying = self.gateway.role() == Role::Relies;
+        let is_relying = self.gateway.role() == SourceRole::Follower;
         self.kind == ItemKind::Configuration && is_behind && is_relying && self.failures == 0
     }
 
@@ -263,7 +267,7 @@
 
     /// Waits until this node should ask the source; tells how long the watch may then last.
     async fn wait_until_needed(&self) -> Duration {
-        let bound = self.gateway.settings().catalogue_bound;
+        let bound = self.gateway.settings().propagation_limit;
         let bound = match self.kind {
             ItemKind::Weights => bound.mul_f64(WEIGHTS_LENIENCE),
             ItemKind::Configuration | ItemKind::Engines => bound,
@@ -271,31 +275,33 @@
         let patience = bound.mul_f64(rand::rng().random_range(PATIENCE_SHARES));
         loop {
             match self.gateway.role() {
-                Role::Relies if self.is_current(patience) => {
+                SourceRole::Follower if self.is_current(patience) => {
                     self.gateway.clock().look(LOOK_INTERVAL).await
                 }
-                Role::Relies => return Duration::ZERO,
+                SourceRole::Follower => return Duration::ZERO,
                 // After a failure the answer is wanted at once: it tells that nothing was missed.
-                Role::Watches | Role::Reads if self.failures > 0 => return Duration::ZERO,
+                SourceRole::Watcher | SourceRole::Reader if self.failures > 0 => {
+                    return Duration::ZERO;
+                }
                 // A long watch of each node of a fleet that starts would be left within moments.
-                Role::Watches if self.uptime() < SIZE_KNOWN_AFTER => {
+                SourceRole::Watcher if self.uptime() < SIZE_KNOWN_AFTER => {
                     self.gateway.clock().look(LOOK_INTERVAL).await
                 }
-                Role::Watches if self.is_new() && self.asked_within(SPACING_WHILE_NEW) => {
+                SourceRole::Watcher if self.is_new() && self.asked_within(SPACING_WHILE_NEW) => {
                     self.gateway.clock().look(LOOK_INTERVAL).await;
                 }
-                Role::Watches => return self.settings.watch,
-                Role::Reads if self.asked_within(LEAST_SPACING) => {
+                SourceRole::Watcher => return self.settings.watch,
+                SourceRole::Reader if self.asked_within(LEAST_SPACING) => {
                     self.gateway.clock().look(LOOK_INTERVAL).await
                 }
-                Role::Reads => return bound.mul_f64(READER_WATCH_SHARE),
+                SourceRole::Reader => return bound.mul_f64(READER_WATCH_SHARE),
             }
         }
     }
 
     /// Resolves when this node is not to watch the source as one of few nodes any more.
     async fn has_grown_large(&self) {
-        while self.gateway.role() == Role::Watches {
+        while self.gateway.role() == SourceRole::Watcher {
             self.gateway.clock().look(LOOK_INTERVAL).await;
         }
     }
@@ -339,7 +345,7 @@
         let now = self.gateway.clock().now();
         let state = self.gateway.state();
         let replica = state.replicas.of(self.kind);
-        let proven_at = replica.freshness.proven_at();
+        let proven_at = replica.freshness.confirmed_at();
         // A stale list proves nothing, but was not much older.
         let known_at = proven_at.or(self.listed_at);
         let is_known = known_at.is_some_and(|at| now.since(at) < patience);
@@ -351,7 +357,7 @@
     fn must_catch_up_alone(&self, replica: &Replica, now: Timestamp) -> bool {
         match self.kind {
             ItemKind::Engines => {
-                let bound = self.gateway.settings().catalogue_bound;
+                let bound = self.gateway.settings().propagation_limit;
                 replica.is_behind_for(bound.mul_f64(HANDOVER_SHARE), now)
             }
             ItemKind::Configuration | ItemKind::Weights => replica.is_behind(),
@@ -359,7 +365,7 @@
     }
 
     fn is_new(&self) -> bool {
-        self.uptime() < SETTLING
+        self.uptime() < PEER_DISCOVERY_TIME
     }
 
     fn uptime(&self) -> Duration {
@@ -408,7 +414,7 @@
     async fn wait_for_others(&self, failed_at: Timestamp, pause: Duration) {
         let nodes = self.gateway.state().peers.known_count();
         let share = (nodes as f64 / NODES_PER_PROBE as f64).max(1.0);
-        let longest = self.gateway.settings().catalogue_bound;
+        let longest = self.gateway.settings().propagation_limit;
         let patience = pause.mul_f64(share).min(longest);
         let patience = match self.kind {
             ItemKind::Configuration => patience,
--- a/crates/gateway/src/source/follower/first_list.rs
+++ b/crates/gateway/src/source/follower/first_list.rs
@@ -7,7 +7,7 @@
 use tokio::time::timeout;
 
 use super::{Follower, LOOK_INTERVAL, SIZE_KNOWN_AFTER};
-use crate::gateway::Way;
+use crate::gateway::SourceRequestKind;
 use crate::source::{Consistency, ItemKind, List, SourceError};
 
 /// Seconds for which a node waits for others to hand the list on before it reads all pages itself: each of a
@@ -28,7 +28,7 @@
         let page = timeout(self.settings.answer, page).await;
         let page = page.unwrap_or(Err(SourceError::NoAnswer));
         self.gateway
-            .count_question(self.kind, Way::List, page.is_ok());
+            .count_source_request(self.kind, SourceRequestKind::List, page.is_ok());
         match page {
             Ok(page) if page.next_after.is_none() => {
                 self.note_answer();
@@ -56,7 +56,7 @@
         loop {
             let waited = self.gateway.clock().now().since(begun_at);
             let is_known = waited >= SIZE_KNOWN_AFTER;
-            let is_reader = is_known && !self.gateway.may_be_handed_list();
+            let is_reader = is_known && !self.gateway.may_receive_list_from_peers();
             if self.revision().is_some() {
                 return true;
             }
--- a/crates/gateway/src/source/replica.rs
+++ b/crates/gateway/src/source/replica.rs
@@ -5,7 +5,7 @@
 use ryerouter_core::Timestamp;
 
 use super::ItemKind;
-use crate::gateway::ProofOfFreshness;
+use crate::gateway::Freshness;
 
 /// This node's copy of one kind of item.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     /// Nothing changed after this revision until the copy was last proven current.
     pub changed_until: Option<u64>,
     /// When the copy was last certainly current.
-    pub freshness: ProofOfFreshness,
+    pub freshness: Freshness,
     /// When the whole list was last asked for; a list that may be stale proves nothing, but was not
     /// much older.
     pub read_at: Option<Timestamp>,
--- a/crates/gateway/tests/beliefs.rs
+++ b/crates/gateway/tests/beliefs.rs
@@ -9,7 +9,7 @@
 use ryerouter_gateway::catalogue::{RequestKind, WeightedPool};
 use ryerouter_gateway::engines::EngineState;
 use ryerouter_gateway::gateway::Gateway;
-use ryerouter_gateway::peers::{KvStoreNews, KvStoreState};
+use ryerouter_gateway::peers::{KvStoreState, KvStoreUpdate};
 use ryerouter_gateway::placement::{PartKey, store_holder_name};
 use ryerouter_gateway::source::{Item, ItemChange, ItemKind};
 use support::gateway_bench::{configure, gateway, gateway_with, list_engines, run, settings};
@@ -98,7 +98,7 @@
     run(async {
         let gateway = gateway("node-1");
         with_engine(&gateway);
-        gateway.note_source_trouble(ItemKind::Engines, 1);
+        gateway.note_source_disruption(ItemKind::Engines, 1);
         engine_gone(&gateway);
         assert!(!knows_engine(&gateway));
     });
@@ -111,7 +111,7 @@
         short.unlisted_grace = Duration::from_millis(200);
         let gateway = gateway_with(short);
         with_engine(&gateway);
-        gateway.note_source_trouble(ItemKind::Engines, FAILURES_OF_TROUBLE);
+        gateway.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
         engine_gone(&gateway);
         assert!(knows_engine(&gateway));
         tokio::time::sleep(Duration::from_millis(250)).await;
@@ -127,7 +127,7 @@
         short.unlisted_grace = Duration::from_millis(200);
         let gateway = gateway_with(short);
         with_engine(&gateway);
-        gateway.note_source_trouble(ItemKind::Engines, FAILURES_OF_TROUBLE);
+        gateway.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
         // The source was away for longer than its entries take to come back.
         tokio::time::sleep(Duration::from_millis(250)).await;
         engine_gone(&gateway);
@@ -150,7 +150,7 @@
         let mut entry = engine(ENGINE, "127.0.0.1:1".parse().unwrap(), 1);
         entry.state = EngineState::Draining;
         list_engines(&gateway, vec![entry]);
-        gateway.note_source_trouble(ItemKind::Engines, FAILURES_OF_TROUBLE);
+        gateway.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
         engine_gone(&gateway);
         assert!(!knows_engine(&gateway));
     });
@@ -172,8 +172,8 @@
 
 /// Two nodes that have heard of each other: the second has an echo of the first's message.
 fn introduce(first: &Gateway, second: &Gateway) {
-    second.hear_peer(first.peer_message(true));
-    first.hear_peer(second.peer_message(true));
+    second.receive_peer_message(first.peer_message(true));
+    first.receive_peer_message(second.peer_message(true));
 }
 
 #[test]
@@ -185,10 +185,10 @@
             configure(&first, table(1, Vec::new()));
             introduce(&first, &second);
             tokio::time::sleep(Duration::from_millis(30)).await;
-            second.hear_peer(first.peer_message(false));
+            second.receive_peer_message(first.peer_message(false));
             configure(&second, table(version, Vec::new()));
             let before = first.state().freshness().age(first.clock().now());
-            first.hear_peer(second.peer_message(false));
+            first.receive_peer_message(second.peer_message(false));
             let after = first.state().freshness().age(first.clock().now());
             assert_eq!(after < before, counts);
         }
@@ -202,13 +202,13 @@
         let second = gateway("node-2");
         configure(&first, table(1, Vec::new()));
         introduce(&first, &second);
-        second.hear_peer(first.peer_message(false));
+        second.receive_peer_message(first.peer_message(false));
         let asked_at = first.clock().now();
         configure(&second, table(1, Vec::new()));
         let message = second.peer_message(false);
         // As when the receiver was paused: the datagram waits.
         tokio::time::sleep(Duration::from_millis(50)).await;
-        first.hear_peer(message);
+        first.receive_peer_message(message);
         let now = first.clock().now();
         let age = first.state().freshness().age(now).unwrap();
         assert!(age >= now.since(asked_at));
@@ -228,7 +228,7 @@
         introduce(&first, &second);
         assert_eq!(first.addresses_near(&zone, 8).len(), 2);
         second.leave();
-        first.hear_peer(second.peer_message(false));
+        first.receive_peer_message(second.peer_message(false));
         assert_eq!(first.addresses_near(&zone, 8).len(), 1);
         assert!(second.addresses_near(&zone, 8).len() <= 1);
     });
@@ -243,8 +243,8 @@
         list_engines(&second, Vec::new());
         let ready = second.peer_message(false);
         second.leave();
-        first.hear_peer(second.peer_message(false));
-        first.hear_peer(ready);
+        first.receive_peer_message(second.peer_message(false));
+        first.receive_peer_message(ready);
         let now = first.clock().now();
         assert_eq!(first.state().peers.ready(now).count(), 0);
     });
@@ -264,7 +264,7 @@
         let change = vec![ItemChange::Present(named(2))];
         first.change_items(ItemKind::Weights, change, first.clock().now());
         let second = gateway("node-2");
-        second.hear_peer(first.peer_message(true));
+        second.receive_peer_message(first.peer_message(true));
         second.replace_items(ItemKind::Weights, vec![named(2)], second.clock().now());
         let until = second.state().deadlines.until("model", 1).unwrap();
         let now = second.clock().now();
@@ -293,7 +293,7 @@
             if index % 3 > 0 {
                 other.identity.zone = ZoneName::new("zone-b");
             }
-            gateway.hear_peer(gateway_with(other).peer_message(true));
+            gateway.receive_peer_message(gateway_with(other).peer_message(true));
         }
         let mut random = rand::rngs::StdRng::seed_from_u64(7);
         for _ in 0..20 {
@@ -337,14 +337,14 @@
         // One node asks for all.
         assert!(first.kv_stores_to_ask() == [address]);
         assert!(second.kv_stores_to_ask().is_empty());
-        first.note_kv_store(KvStoreNews(address, KvStoreState::Up(1)));
-        second.hear_peer(first.peer_message(false));
+        first.note_kv_store(KvStoreUpdate(address, KvStoreState::Up(1)));
+        second.receive_peer_message(first.peer_message(false));
         assert!(is_stored(&first) && is_stored(&second));
-        first.note_kv_store(KvStoreNews(address, KvStoreState::Up(2)));
-        second.hear_peer(first.peer_message(false));
+        first.note_kv_store(KvStoreUpdate(address, KvStoreState::Up(2)));
+        second.receive_peer_message(first.peer_message(false));
         assert!(!is_stored(&first) && !is_stored(&second));
-        first.note_kv_store(KvStoreNews(address, KvStoreState::Down));
-        second.hear_peer(first.peer_message(false));
+        first.note_kv_store(KvStoreUpdate(address, KvStoreState::Down));
+        second.receive_peer_message(first.peer_message(false));
         assert!(!second.state().kv_stores.is_up(address));
     });
 }
--- a/crates/gateway/tests/caches.rs
+++ b/crates/gateway/tests/caches.rs
@@ -33,7 +33,7 @@
         .collect();
     for receiver in &nodes {
         for sender in &nodes {
-            receiver.hear_peer(sender.peer_message(true));
+            receiver.receive_peer_message(sender.peer_message(true));
         }
     }
     nodes
@@ -110,7 +110,7 @@
 fn caches_are_not_followed(after: Option<Duration>) {
     run(async {
         let mut own = settings("node-1");
-        own.caches_followed_after = after;
+        own.cache_follow_delay = after;
         let node = gateway_with(own);
         configure(&node, table(1, Vec::new()));
         let address = SocketAddr::from(([127, 0, 0, 1], 1_000));
@@ -147,7 +147,7 @@
         let nodes = nodes(2, 1);
         let name = BackEndName::new("e0");
         nodes[0].take_cache_changes(&name, &[change(500, true)], true);
-        nodes[2].hear_peer(nodes[0].peer_message(false));
+        nodes[2].receive_peer_message(nodes[0].peer_message(false));
         let expected = [name];
         assert_eq!(holders(&nodes[0]), expected);
         assert_eq!(holders(&nodes[2]), expected);
@@ -160,13 +160,13 @@
         let nodes = nodes(2, 1);
         let name = BackEndName::new("e0");
         nodes[0].take_cache_changes(&name, &[change(500, true)], true);
-        nodes[2].hear_peer(nodes[0].peer_message(false));
+        nodes[2].receive_peer_message(nodes[0].peer_message(false));
         // Only the last of several changes counts.
         let changes = [change(0, false), change(500, true), change(128, false)];
         nodes[0].take_cache_changes(&name, &changes, false);
-        assert!(!nodes[0].has_peer_news());
+        assert!(!nodes[0].has_peer_updates());
         assert_eq!(holders(&nodes[0]), []);
-        nodes[2].hear_peer(nodes[0].peer_message(false));
+        nodes[2].receive_peer_message(nodes[0].peer_message(false));
         assert_eq!(holders(&nodes[2]), []);
         assert_eq!(nodes[0].peer_message(false).dropped, []);
     });
--- a/crates/gateway/tests/callers.rs
+++ b/crates/gateway/tests/callers.rs
@@ -16,12 +16,12 @@
 fn node_with_short_bound() -> (Rc<Gateway>, Rc<Gateway>) {
     let mut own = settings("node-00");
     own.identity.caller_address = "127.0.0.1:9000".parse().unwrap();
-    own.most_unproven = Some(Duration::from_millis(4_000));
+    own.max_unconfirmed_age = Some(Duration::from_millis(4_000));
     let gateway = gateway_with(own);
     configure(&gateway, table(1, Vec::new()));
     list_engines(&gateway, Vec::new());
     let other = node(1);
-    gateway.hear_peer(other.peer_message(true));
+    gateway.receive_peer_message(other.peer_message(true));
     (gateway, other)
 }
 
@@ -54,7 +54,7 @@
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         assert_eq!(named_by(&gateway), 0);
         match is_peer {
-            true => gateway.hear_peer(other.peer_message(true)),
+            true => gateway.receive_peer_message(other.peer_message(true)),
             false => configure(&gateway, table(2, Vec::new())),
         }
         assert!(!gateway.is_cut_off());
@@ -69,7 +69,7 @@
         configure(&gateway, table(2, Vec::new()));
         assert!(gateway.is_ready());
         tokio::time::sleep(Duration::from_millis(4_100)).await;
-        gateway.hear_peer(other.peer_message(true));
+        gateway.receive_peer_message(other.peer_message(true));
         assert!(!gateway.is_ready());
         let named = gateway.addresses_near(&ZoneName::new(ZONE), 8);
         assert_eq!(named, [other.settings().identity.caller_address]);
--- a/crates/gateway/tests/catching_up.rs
+++ b/crates/gateway/tests/catching_up.rs
@@ -8,7 +8,7 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::identity::BackEndName;
 use ryerouter_gateway::engines::EngineState;
-use ryerouter_gateway::gateway::{Gateway, Role};
+use ryerouter_gateway::gateway::{Gateway, SourceRole};
 use ryerouter_gateway::peers::Datagram;
 use ryerouter_gateway::source::{ChangeLog, Item, ItemBatch, ItemChange, ItemKind, NamedWeights};
 use ryerouter_gateway::sync::Answer;
@@ -66,7 +66,7 @@
         let nodes: Vec<_> = (0..7).map(node).collect();
         introduce(&nodes);
         for node in &nodes {
-            assert_eq!(node.role(), Role::Watches);
+            assert_eq!(node.role(), SourceRole::Watcher);
             assert!(node.next_question().is_none());
         }
     });
@@ -89,7 +89,7 @@
         introduce(&nodes);
         for (index, node) in nodes.iter().enumerate() {
             let is_first = index == 0;
-            assert_eq!(node.role() == Role::Reads, is_first, "node {index}");
+            assert_eq!(node.role() == SourceRole::Reader, is_first, "node {index}");
             let expected = match index {
                 0 => None,
                 1 | 2 => Some(0),
@@ -111,8 +111,8 @@
         // Its questions to the nodes of the other zone get no answer, as in a cut between zones.
         let asked: Vec<_> = (0..12).map(|_| asked_by(&nodes[1], &nodes)).collect();
         assert_eq!(asked[..3], [Some(0), Some(0), None]);
-        assert_eq!(nodes[1].role(), Role::Reads);
-        assert_eq!(nodes[3].role(), Role::Relies);
+        assert_eq!(nodes[1].role(), SourceRole::Reader);
+        assert_eq!(nodes[3].role(), SourceRole::Follower);
     });
 }
 
@@ -150,14 +150,14 @@
         let started = gateway_with(own);
         for other in &nodes {
             for peer in &nodes {
-                other.hear_peer(peer.peer_message(true));
+                other.receive_peer_message(peer.peer_message(true));
             }
         }
         // One message tells it that there are many, and whom it may ask.
-        started.hear_peer(nodes[4].peer_message(true));
-        assert_eq!(started.role(), Role::Relies);
+        started.receive_peer_message(nodes[4].peer_message(true));
+        assert_eq!(started.role(), SourceRole::Follower);
         assert_eq!(asked_by(&started, &nodes), Some(4));
-        assert_eq!(nodes[0].role(), Role::Reads);
+        assert_eq!(nodes[0].role(), SourceRole::Reader);
     });
 }
 
@@ -169,12 +169,12 @@
         own.identity.incarnation = 77;
         own.identity.peer_address = "127.0.0.1:10050".parse().unwrap();
         let started = gateway_with(own);
-        assert!(started.owes_introduction());
-        nodes[3].hear_peer(started.peer_message(true));
-        assert!(nodes[3].owes_introduction());
+        assert!(started.owes_full_update());
+        nodes[3].receive_peer_message(started.peer_message(true));
+        assert!(nodes[3].owes_full_update());
         let receivers = nodes[3].peer_receivers(true, &mut rand::rng());
         assert!(receivers.contains(&"127.0.0.1:10050".parse().unwrap()));
-        started.hear_peer(nodes[3].peer_message(true));
+        started.receive_peer_message(nodes[3].peer_message(true));
         assert!(started.state().peers.is_large());
         // It has not heard of them itself, so it does not tell others that there are many.
         assert_eq!(started.peer_message(true).known_nodes, 1);
@@ -265,9 +265,9 @@
             sleep(Duration::from_millis(10)).await;
         }
         for node in &nodes[1..] {
-            other.hear_peer(node.peer_message(false));
+            other.receive_peer_message(node.peer_message(false));
         }
-        other.hear_peer(reader.peer_message(false));
+        other.receive_peer_message(reader.peer_message(false));
         catch_up(other, reader);
         let state = other.state();
         assert!(state.replicas.of(ItemKind::Engines).is_behind());
@@ -333,7 +333,7 @@
         for _ in 0..3 {
             catch_up(&nodes[5], &nodes[0]);
         }
-        assert_eq!(nodes[5].role(), Role::Relies);
+        assert_eq!(nodes[5].role(), SourceRole::Follower);
         assert_eq!(asked_by(&nodes[5], &nodes), Some(0));
     });
 }
@@ -422,12 +422,12 @@
 fn node_that_others_rely_on_reads() {
     run(async {
         let nodes = zone_of_many();
-        assert_eq!(nodes[1].role(), Role::Relies);
+        assert_eq!(nodes[1].role(), SourceRole::Follower);
         for _ in 0..3 {
             let (_, question) = nodes[5].next_question().unwrap();
             nodes[1].answer_question(&question);
         }
-        assert_eq!(nodes[1].role(), Role::Reads);
+        assert_eq!(nodes[1].role(), SourceRole::Reader);
     });
 }
 
@@ -436,7 +436,7 @@
     run(async {
         let mut short = settings("node-05");
         short.identity.incarnation = 99;
-        short.catalogue_bound = Duration::from_millis(60);
+        short.propagation_limit = Duration::from_millis(60);
         let asker = gateway_with(short);
         let now = asker.clock().now();
         configure(&asker, table(1, Vec::new()));
@@ -470,13 +470,13 @@
         };
         let before = newest(first).unwrap();
         tokio::time::sleep(Duration::from_millis(5)).await;
-        between.hear_peer(far.peer_message(false));
+        between.receive_peer_message(far.peer_message(false));
         // A message echoes up to sixteen of eleven other nodes.
-        first.hear_peer(between.peer_message(false));
+        first.receive_peer_message(between.peer_message(false));
         let after = newest(first).unwrap();
         assert!(after.0 > before.0 && after.1 > before.1);
         // Without newer messages the echo of the old one is no news.
-        first.hear_peer(between.peer_message(false));
+        first.receive_peer_message(between.peer_message(false));
         assert_eq!(newest(first).unwrap(), after);
     });
 }
@@ -509,7 +509,7 @@
     run(async {
         let nodes = zone_of_many();
         let (reader, other) = (&nodes[0], &nodes[5]);
-        reader.note_source_trouble(ItemKind::Engines, FAILURES_OF_TROUBLE);
+        reader.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
         source_tells(reader, vec![ItemChange::Gone("e1".to_owned())], 101);
         assert_eq!(state_of(reader, "e1"), Some(EngineState::Ready));
         catch_up(other, reader);
--- a/crates/gateway/tests/dividing.rs
+++ b/crates/gateway/tests/dividing.rs
@@ -254,7 +254,7 @@
 }
 
 fn divided(node: &Gateway) -> bool {
-    node.refresh_divisions();
+    node.refresh_prefill_splits();
     !node.state().divisions.is_empty()
 }
 
@@ -278,7 +278,7 @@
         let tokens = SOME_TOKENS_PER_SECOND as u32 * 4;
         first.state_mut().reading_demand.count(&pool, tokens, now);
         assert!(divided(&first));
-        second.hear_peer(first.peer_message(true));
+        second.receive_peer_message(first.peer_message(true));
         assert!(divided(&second));
         let reading = |node: &Gateway| node.state().divisions[&pool].count(&node.state().engines);
         assert_eq!(reading(&first), reading(&second));
--- a/crates/gateway/tests/engine_lives.rs
+++ b/crates/gateway/tests/engine_lives.rs
@@ -17,7 +17,7 @@
 };
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::peers::{
-    EngineLifeNews, EngineLoadNews, HolderNews, PeerMessage, WeightsNews,
+    EngineIncarnationUpdate, EngineLoadUpdate, HolderUpdate, PeerMessage, WeightsUpdate,
 };
 use ryerouter_gateway::placement::{
     CacheChanges, CacheFeed, CandidateCost, Cursor, PartKey, Placement, PromptKeys, watch_caches,
@@ -75,7 +75,7 @@
 }
 
 fn known_life(gateway: &Gateway) -> Option<u64> {
-    gateway.life_of(&name()).map(|life| life.0)
+    gateway.incarnation_of(&name()).map(|life| life.0)
 }
 
 fn holds(gateway: &Gateway) -> bool {
@@ -90,8 +90,8 @@
     }
 }
 
-fn loaded() -> WeightsNews {
-    WeightsNews {
+fn loaded() -> WeightsUpdate {
+    WeightsUpdate {
         engine: name(),
         model: MODEL.to_owned(),
         version: 5,
@@ -119,8 +119,8 @@
         let now = gateway.clock().now();
         let mut state = gateway.state_mut();
         state.holders.note(PART, &name(), now);
-        state.holder_news.push(HolderNews(PART, name()));
-        state.dropped_news.push(HolderNews(PART, name()));
+        state.holder_updates.push(HolderUpdate(PART, name()));
+        state.drop_updates.push(HolderUpdate(PART, name()));
         let engine = state.engines.get_mut(&name()).unwrap();
         engine.note_full(now);
         engine.note_answer_to(now);
@@ -137,8 +137,8 @@
         assert!(engine.takes_work(now) && engine.health.is_serving());
         assert_eq!(engine.full_until, None);
         assert!(!engine.has_answered_what_was_sent_after(Timestamp::ZERO));
-        assert!(state.holder_news.is_empty() && state.dropped_news.is_empty());
-        assert!(state.weights_news.is_empty() && state.load_news.is_empty());
+        assert!(state.holder_updates.is_empty() && state.drop_updates.is_empty());
+        assert!(state.weights_updates.is_empty() && state.load_updates.is_empty());
     });
 }
 
@@ -225,10 +225,10 @@
     let lives = lives.iter();
     PeerMessage {
         lives: lives
-            .map(|life| EngineLifeNews(name(), Incarnation(*life)))
+            .map(|life| EngineIncarnationUpdate(name(), Incarnation(*life)))
             .collect(),
-        loads: vec![EngineLoadNews(name(), one_request())],
-        holders: vec![HolderNews(PART, name())],
+        loads: vec![EngineLoadUpdate(name(), one_request())],
+        holders: vec![HolderUpdate(PART, name())],
         weights: vec![loaded()],
         ..from.peer_message(true)
     }
@@ -258,7 +258,7 @@
         list_life(&nodes[0], FIRST);
         list_life(&nodes[0], SECOND);
         sleep(after).await;
-        nodes[0].hear_peer(message(&nodes[1], lives));
+        nodes[0].receive_peer_message(message(&nodes[1], lives));
         assert_eq!(is_told(&nodes[0]), expected);
     });
 }
@@ -273,8 +273,8 @@
             .state_mut()
             .holders
             .note(PART, &name(), nodes[0].clock().now());
-        nodes[0].hear_peer(PeerMessage {
-            dropped: vec![HolderNews(PART, name())],
+        nodes[0].receive_peer_message(PeerMessage {
+            dropped: vec![HolderUpdate(PART, name())],
             ..nodes[1].peer_message(true)
         });
         assert!(holds(&nodes[0]));
@@ -286,11 +286,11 @@
     run(async {
         let nodes = [node(0), node(1), node(2)];
         list_life(&nodes[0], FIRST);
-        nodes[0].hear_peer(message(&nodes[1], &[]));
+        nodes[0].receive_peer_message(message(&nodes[1], &[]));
         assert_eq!(load(&nodes[0]), one_request());
         list_life(&nodes[0], SECOND);
         // The sums are made anew with each message of any node.
-        nodes[0].hear_peer(nodes[2].peer_message(true));
+        nodes[0].receive_peer_message(nodes[2].peer_message(true));
         assert_eq!(load(&nodes[0]), EngineLoad::default());
     });
 }
@@ -315,7 +315,7 @@
             "nothing is told of it"
         );
         let _running = InFlight::new(counter(), one_request());
-        let expected = [EngineLifeNews(name(), Incarnation(SECOND))];
+        let expected = [EngineIncarnationUpdate(name(), Incarnation(SECOND))];
         assert_eq!(gateway.peer_message(false).lives, expected);
         let message = serde_json::to_string(&gateway.peer_message(false)).unwrap();
         assert!(message.contains(r#""i":[["e1",2000]]"#), "{message}");
@@ -345,18 +345,18 @@
         }
         nodes[0]
             .state_mut()
-            .zone_news
-            .push(HolderNews(PART, name()));
+            .zone_updates
+            .push(HolderUpdate(PART, name()));
         let counter = Rc::clone(&nodes[0].state().engines.get(&name()).unwrap().own_load);
         let _running = InFlight::new(counter, one_request());
-        let (news, _) = nodes[0].next_zone_news(true).unwrap();
-        nodes[6].hear_zone(&news);
+        let (news, _) = nodes[0].next_zone_update(true).unwrap();
+        nodes[6].receive_zone_update(&news);
         nodes[6].refresh_foreign_loads();
         assert_eq!(holds(&nodes[6]), is_known);
         assert_eq!(load(&nodes[6]) == one_request(), is_known);
         nodes[0].note_loaded(&name(), MODEL, 5, Duration::ZERO);
-        for (news, _) in nodes[0].next_load_news() {
-            nodes[6].hear_zone(&news);
+        for (news, _) in nodes[0].next_urgent_updates() {
+            nodes[6].receive_zone_update(&news);
         }
         assert_eq!(weights(&nodes[6]) == Some(5), is_known);
     });
@@ -567,7 +567,7 @@
             .state_mut()
             .holders
             .note(PART, &name(), gateway.clock().now());
-        let told = gateway.take_report_life(&name(), &report(2, 0, of));
+        let told = gateway.take_report_incarnation(&name(), &report(2, 0, of));
         assert_eq!(told, expected);
         assert_eq!(known_life(&gateway), Some(known));
         assert_eq!(weights(&gateway), Some(has));
@@ -581,10 +581,10 @@
     run_paused(async {
         let gateway = gateway("node-1");
         list_life(&gateway, FIRST);
-        gateway.note_source_trouble(ItemKind::Engines, FAILURES_OF_TROUBLE);
+        gateway.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
         change(&gateway, ItemChange::Gone(ENGINE.to_owned()));
         assert_eq!(known_life(&gateway), Some(FIRST), "it may come back");
-        gateway.take_report_life(&name(), &report(2, 0, SECOND));
+        gateway.take_report_incarnation(&name(), &report(2, 0, SECOND));
         assert_eq!(known_life(&gateway), Some(SECOND));
         sleep(LONG_AFTER).await;
         gateway.remove_unlisted();
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -169,7 +169,7 @@
 
 fn hear_all(gateway: &Gateway, others: &[Rc<Gateway>]) {
     for other in others {
-        gateway.hear_peer(other.peer_message(false));
+        gateway.receive_peer_message(other.peer_message(false));
     }
 }
 
@@ -329,7 +329,7 @@
     let other = gateway_with(settings("other"));
     let mut message = other.peer_message(true);
     message.known_nodes = others;
-    gateway.hear_peer(message);
+    gateway.receive_peer_message(message);
     // As the tests' bound is 3 s, the copy is too old by then.
     sleep(Duration::from_secs(5)).await;
     source.questions.borrow_mut().clear();
@@ -352,7 +352,7 @@
         configure(&other, table(3, Vec::new()));
         let mut message = other.peer_message(true);
         message.sequence = 100;
-        gateway.hear_peer(message);
+        gateway.receive_peer_message(message);
         sleep(Duration::from_millis(600)).await;
         assert!(asked(&of_many) > before);
     });
--- a/crates/gateway/tests/handing_on.rs
+++ b/crates/gateway/tests/handing_on.rs
@@ -28,23 +28,25 @@
     let second = gateway_with(own);
     list_engines(&second, Vec::new());
     configure(&second, table(2, Vec::new()).with_document(document));
-    first.hear_peer(second.peer_message(true));
+    first.receive_peer_message(second.peer_message(true));
     (first, second)
 }
 
 /// Lets the first node fetch what it asks for; tells in how many pieces. Datagrams travel as JSON.
 fn hand_over(first: &Gateway, second: &Gateway) -> usize {
     let mut pieces = 0;
-    let mut next = first.next_fetch();
+    let mut next = first.next_configuration_fetch();
     while let Some((address, fetch)) = next {
         assert_eq!(address, second.settings().identity.peer_address);
-        let chunk = second.answer_fetch(&fetch).expect("has a document");
+        let chunk = second
+            .answer_configuration_fetch(&fetch)
+            .expect("has a document");
         let bytes = serde_json::to_vec(&Datagram::Chunk(chunk)).unwrap();
         let Ok(Datagram::Chunk(chunk)) = serde_json::from_slice(&bytes) else {
             panic!("not a chunk");
         };
         pieces += 1;
-        next = first.take_chunk(chunk);
+        next = first.take_configuration_chunk(chunk);
     }
     pieces
 }
@@ -68,8 +70,8 @@
                 .is_behind()
         );
         // While the source answers it is asked, since that costs the other node nothing.
-        assert_eq!(first.next_fetch(), None);
-        first.note_source_trouble(ItemKind::Configuration, 1);
+        assert_eq!(first.next_configuration_fetch(), None);
+        first.note_source_disruption(ItemKind::Configuration, 1);
         assert_eq!(hand_over(&first, &second), pieces);
         assert_eq!(version(&first), Some(2));
         assert!(
@@ -79,7 +81,7 @@
                 .of(ItemKind::Configuration)
                 .is_behind()
         );
-        assert_eq!(first.next_fetch(), None);
+        assert_eq!(first.next_configuration_fetch(), None);
     });
 }
 
@@ -87,19 +89,26 @@
 fn lost_and_repeated_pieces_do_no_harm() {
     run_paused(async {
         let (first, second) = behind_and_ahead(&format!("{:>20000}", 2));
-        first.note_source_trouble(ItemKind::Configuration, 1);
-        let (_, fetch) = first.next_fetch().expect("asks");
-        let chunk = second.answer_fetch(&fetch).expect("answers");
+        first.note_source_disruption(ItemKind::Configuration, 1);
+        let (_, fetch) = first.next_configuration_fetch().expect("asks");
+        let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
         // The question was lost, and is asked again after a while.
-        assert_eq!(first.next_fetch(), None);
+        assert_eq!(first.next_configuration_fetch(), None);
         sleep(Duration::from_millis(250)).await;
-        assert_eq!(first.next_fetch().expect("asks again").1, fetch);
-        let (_, second_fetch) = first.take_chunk(chunk.clone()).expect("goes on");
+        assert_eq!(
+            first.next_configuration_fetch().expect("asks again").1,
+            fetch
+        );
+        let (_, second_fetch) = first
+            .take_configuration_chunk(chunk.clone())
+            .expect("goes on");
         assert_eq!(second_fetch.offset, chunk.text.len());
-        let middle = second.answer_fetch(&second_fetch).expect("answers");
-        first.take_chunk(middle.clone());
+        let middle = second
+            .answer_configuration_fetch(&second_fetch)
+            .expect("answers");
+        first.take_configuration_chunk(middle.clone());
         // The same piece once more, out of its order.
-        first.take_chunk(middle);
+        first.take_configuration_chunk(middle);
         sleep(Duration::from_millis(250)).await;
         assert_eq!(hand_over(&first, &second), 1);
         assert_eq!(version(&first), Some(2));
@@ -110,19 +119,19 @@
 fn newer_configuration_replaces_the_one_that_is_being_handed_on() {
     run_paused(async {
         let (first, second) = behind_and_ahead(&format!("{:>20000}", 2));
-        first.note_source_trouble(ItemKind::Configuration, 1);
-        let (_, fetch) = first.next_fetch().expect("asks");
-        let chunk = second.answer_fetch(&fetch).expect("answers");
-        let (_, fetch) = first.take_chunk(chunk).expect("goes on");
+        first.note_source_disruption(ItemKind::Configuration, 1);
+        let (_, fetch) = first.next_configuration_fetch().expect("asks");
+        let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
+        let (_, fetch) = first.take_configuration_chunk(chunk).expect("goes on");
         configure(
             &second,
             table(3, Vec::new()).with_document(format!("{:>9000}", 3)),
         );
-        let chunk = second.answer_fetch(&fetch).expect("answers");
+        let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
         assert_eq!((chunk.version, chunk.offset), (3, 0));
-        let (_, fetch) = first.take_chunk(chunk).expect("goes on");
-        let chunk = second.answer_fetch(&fetch).expect("answers");
-        assert_eq!(first.take_chunk(chunk), None);
+        let (_, fetch) = first.take_configuration_chunk(chunk).expect("goes on");
+        let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
+        assert_eq!(first.take_configuration_chunk(chunk), None);
         assert_eq!(version(&first), Some(3));
     });
 }
@@ -131,10 +140,10 @@
 fn unreadable_configuration_of_another_node_changes_nothing() {
     run_paused(async {
         let (first, second) = behind_and_ahead("no version");
-        first.note_source_trouble(ItemKind::Configuration, 1);
-        let (_, fetch) = first.next_fetch().expect("asks");
-        let chunk = second.answer_fetch(&fetch).expect("answers");
-        assert_eq!(first.take_chunk(chunk), None);
+        first.note_source_disruption(ItemKind::Configuration, 1);
+        let (_, fetch) = first.next_configuration_fetch().expect("asks");
+        let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
+        assert_eq!(first.take_configuration_chunk(chunk), None);
         assert_eq!(version(&first), Some(1));
     });
 }
--- a/crates/gateway/tests/late_source.rs
+++ b/crates/gateway/tests/late_source.rs
@@ -257,7 +257,7 @@
             batch(vec![change], FIRST_REVISION + 5),
             Some(now),
         );
-        nodes[0].hear_peer(nodes[1].peer_message(true));
+        nodes[0].receive_peer_message(nodes[1].peer_message(true));
         let is_behind_now = || nodes[0].state().replicas.of(ItemKind::Engines).is_behind();
         assert!(is_behind_now());
         sleep(Duration::from_secs(3)).await;
--- a/crates/gateway/tests/list_handover.rs
+++ b/crates/gateway/tests/list_handover.rs
@@ -51,11 +51,11 @@
     let node = gateway_with(own);
     configure(&node, table(1, Vec::new()));
     for other in others {
-        node.hear_peer(other.peer_message(true));
+        node.receive_peer_message(other.peer_message(true));
     }
     sleep(Duration::from_millis(600)).await;
     for other in others {
-        node.hear_peer(other.peer_message(true));
+        node.receive_peer_message(other.peer_message(true));
     }
     node
 }
@@ -132,7 +132,7 @@
         while asked == first {
             sleep(Duration::from_millis(450)).await;
             for other in &others {
-                node.hear_peer(other.peer_message(true));
+                node.receive_peer_message(other.peer_message(true));
             }
             asked = node.next_list_fetch(&mut random).unwrap().0;
         }
--- a/crates/gateway/tests/ordering.rs
+++ b/crates/gateway/tests/ordering.rs
@@ -157,7 +157,9 @@
         let ordering = Ordering::start(Duration::from_millis(120));
         // While the answers are on their way, another call to the store fails.
         sleep(Duration::from_millis(180)).await;
-        ordering.gateway.note_source_trouble(ItemKind::Weights, 1);
+        ordering
+            .gateway
+            .note_source_disruption(ItemKind::Weights, 1);
         sleep(Duration::from_millis(400)).await;
         assert!(ordering.lease.has_holder());
         assert!(ordering.gateway.state().gives_orders);
@@ -171,7 +173,7 @@
         let other = gateway("node-2");
         configure(&other, table(1, Vec::new()));
         list_engines(&other, Vec::new());
-        let tell = || other.hear_peer(ordering.gateway.peer_message(true));
+        let tell = || other.receive_peer_message(ordering.gateway.peer_message(true));
         sleep(Duration::from_secs(2)).await;
         tell();
         assert!(!other.should_give_orders());
--- a/crates/gateway/tests/poison_news.rs
+++ b/crates/gateway/tests/poison_news.rs
@@ -43,11 +43,11 @@
 fn tell(to: &Gateway, from: &Gateway, news: Vec<PoisonNews>) {
     let mut message = from.peer_message(false);
     message.poison = news;
-    to.hear_peer(message);
+    to.receive_peer_message(message);
 }
 
 fn is_held_back(node: &Gateway) -> bool {
-    node.verdict_on_digest(DIGEST) != Verdict::Runs
+    node.poison_verdict_of(DIGEST) != Verdict::Runs
 }
 
 /// The engine that both nodes list is still there; the ends of the others are not in doubt.
@@ -94,9 +94,9 @@
         introduce(&nodes);
         tell(&nodes[0], &nodes[1], vec![three_ends(["a", "b", "c"])]);
         sleep(Duration::from_secs(1)).await;
-        nodes[2].hear_peer(nodes[0].peer_message(false));
+        nodes[2].receive_peer_message(nodes[0].peer_message(false));
         assert!(!is_held_back(&nodes[2]));
-        nodes[2].hear_peer(nodes[0].peer_message(true));
+        nodes[2].receive_peer_message(nodes[0].peer_message(true));
         assert!(is_held_back(&nodes[2]));
     });
 }
@@ -115,7 +115,7 @@
         }
         for _ in 0..20 {
             let message = nodes[0].peer_message(true);
-            nodes[1].hear_peer(message.clone());
+            nodes[1].receive_peer_message(message.clone());
             let datagram = Datagram::Message(Box::new(message));
             let bytes = serde_json::to_vec(&datagram).expect("datagram").len();
             assert!(bytes < 6_000, "{bytes}");
@@ -139,13 +139,13 @@
         introduce(&nodes);
         tell(&nodes[3], &nodes[4], vec![three_ends(["a", "b", "c"])]);
         nodes[3].state_mut().poison_news.insert(DIGEST, 1);
-        let parcels = nodes[3].next_load_news();
+        let parcels = nodes[3].next_urgent_updates();
         let first: usize = parcels.iter().map(|parcel| parcel.1.len()).sum();
         let passed_on: usize = deliver(&nodes, parcels).iter().sum();
         let held_back = nodes.iter().filter(|node| is_held_back(node)).count();
         assert_eq!(held_back, nodes.len());
         assert!(first + passed_on <= 3 * nodes.len(), "{first} {passed_on}");
-        assert!(nodes[3].next_load_news().is_empty());
+        assert!(nodes[3].next_urgent_updates().is_empty());
     });
 }
 
@@ -162,7 +162,7 @@
         let Ok(Datagram::Message(message)) = serde_json::from_value(value) else {
             panic!("no message");
         };
-        nodes[0].hear_peer(*message);
+        nodes[0].receive_peer_message(*message);
         assert!(is_held_back(&nodes[0]));
     });
 }
@@ -174,14 +174,14 @@
         let nodes: Vec<Rc<Gateway>> = (0..2).map(node).collect();
         tell(&nodes[0], &nodes[1], vec![three_ends(["a", "b", "c"])]);
         sleep(Duration::from_secs(601)).await;
-        assert_eq!(nodes[0].verdict_on_digest(DIGEST), Verdict::Trial);
+        assert_eq!(nodes[0].poison_verdict_of(DIGEST), Verdict::Trial);
         let news = PoisonNews {
             trials: 1,
             tried_age_ms: Some(5),
             ..three_ends(["a", "b", "c"])
         };
         tell(&nodes[0], &nodes[1], vec![news]);
-        let verdict = nodes[0].verdict_on_digest(DIGEST);
+        let verdict = nodes[0].poison_verdict_of(DIGEST);
         assert!(matches!(verdict, Verdict::Refused { .. }), "{verdict:?}");
     });
 }
@@ -222,7 +222,7 @@
             }
             let newcomer = node(5);
             for _ in 0..4 {
-                newcomer.hear_peer(nodes[0].peer_message(true));
+                newcomer.receive_peer_message(nodes[0].peer_message(true));
                 (0..between).for_each(|_| drop(nodes[0].peer_message(false)));
             }
             let heard = newcomer.state().poison.convicted().count();
@@ -244,13 +244,13 @@
             tell(&nodes[3], &nodes[4], vec![news]);
             nodes[3].state_mut().poison_news.insert(Digest(number), 1);
         }
-        nodes[3].tell_peers_soon();
+        nodes[3].request_peer_send();
         let is_urgent = || async {
-            let urgent = nodes[3].peer_news_is_urgent();
+            let urgent = nodes[3].peer_send_requested();
             timeout(Duration::from_millis(1), urgent).await.is_ok()
         };
         while is_urgent().await {
-            deliver(&nodes, nodes[3].next_load_news());
+            deliver(&nodes, nodes[3].next_urgent_updates());
         }
         let heard = nodes[9].state().poison.convicted().count();
         assert_eq!(heard, 70);
--- a/crates/gateway/tests/proving.rs
+++ b/crates/gateway/tests/proving.rs
@@ -60,7 +60,7 @@
             let now = gateway.clock().now();
             let mut state = gateway.state_mut();
             let replica = state.replicas.of_mut(ItemKind::Configuration);
-            replica.freshness.prove(now);
+            replica.freshness.confirm(now);
         }
         assert!(source.questions.borrow().is_empty());
     });
@@ -93,8 +93,8 @@
         configure(&first, table(1, Vec::new()));
         configure(&second, table(2, Vec::new()));
         start_proving(&first, &source);
-        second.hear_peer(first.peer_message(true));
-        first.hear_peer(second.peer_message(true));
+        second.receive_peer_message(first.peer_message(true));
+        first.receive_peer_message(second.peer_message(true));
         sleep(Duration::from_millis(150)).await;
         assert_eq!(version(&first), Some(2));
     });
--- a/crates/gateway/tests/region_callers.rs
+++ b/crates/gateway/tests/region_callers.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use ryerouter_core::identity::{PoolName, RegionName, ZoneName};
 use ryerouter_gateway::gateway::{
-    CallerNode, CallerPlace, CallerRing, Gateway, GatewaySettings, draw_addresses,
+    CallerLocation, CallerNode, CallerRing, Gateway, GatewaySettings, draw_addresses,
 };
 use ryerouter_gateway::peers::Capacity;
 use ryerouter_gateway::places::{Distance, Places};
@@ -56,7 +56,7 @@
         })
         .collect();
     let region = region.map(RegionName::new);
-    let place = CallerPlace {
+    let place = CallerLocation {
         zone: &ZoneName::new(zone),
         region: region.as_ref(),
     };
@@ -95,7 +95,7 @@
         is_ready: index < 2,
     };
     let nodes: Vec<_> = (0..8).map(node).collect();
-    let place = CallerPlace {
+    let place = CallerLocation {
         zone: &zone,
         region: None,
     };
@@ -183,7 +183,7 @@
             let other = gateway_with(other);
             configure(&other, table(1, Vec::new()));
             list_engines(&other, Vec::new());
-            gateway.hear_peer(other.peer_message(true));
+            gateway.receive_peer_message(other.peer_message(true));
         }
         let zone = gateway.settings().identity.zone.clone();
         assert_eq!(gateway.addresses_near(&zone, MOST).len(), expected);
@@ -211,11 +211,14 @@
         for index in 1..4 {
             let mut other = settings_of(index);
             other.identity.capacity = SMALL;
-            gateway.hear_peer(gateway_with(other).peer_message(true));
+            gateway.receive_peer_message(gateway_with(other).peer_message(true));
         }
         let pool = PoolName::new("pool");
-        gateway.state_mut().stale_starts.insert(pool.clone(), 8);
-        let all = gateway.take_stale_starts();
+        gateway
+            .state_mut()
+            .stale_weight_starts
+            .insert(pool.clone(), 8);
+        let all = gateway.take_stale_weight_starts();
         assert_eq!(all.len(), 1);
         assert!((all[0].1 - expected).abs() < 0.01, "{}", all[0].1);
     });
@@ -240,7 +243,7 @@
         let hear_but = |silent: std::ops::Range<usize>| {
             let others = nodes.iter().enumerate().skip(1);
             for (_, node) in others.filter(|(index, _)| !silent.contains(index)) {
-                nodes[0].hear_peer(node.peer_message(false));
+                nodes[0].receive_peer_message(node.peer_message(false));
             }
         };
         // The last message of each, so that no echo tells of a later one.
--- a/crates/gateway/tests/regions.rs
+++ b/crates/gateway/tests/regions.rs
@@ -10,7 +10,7 @@
 use ryerouter_core::quota::{Ask, Limit};
 use ryerouter_gateway::engines::{EngineLoad, InFlight};
 use ryerouter_gateway::gateway::Gateway;
-use ryerouter_gateway::peers::HolderNews;
+use ryerouter_gateway::peers::HolderUpdate;
 use ryerouter_gateway::placement::PartKey;
 use support::fleet::{addresses, deliver, nodes_in_regions};
 use support::followers::{knows_leaving, newest_weights, three_engines};
@@ -45,8 +45,11 @@
         let nodes = nodes_in_regions(OF_ZONE);
         let engine = BackEndName::new("e1");
         let key = PartKey(7);
-        nodes[0].state_mut().zone_news.push(HolderNews(key, engine));
-        let (news, relays) = nodes[0].next_zone_news(false).unwrap();
+        nodes[0]
+            .state_mut()
+            .zone_updates
+            .push(HolderUpdate(key, engine));
+        let (news, relays) = nodes[0].next_zone_update(false).unwrap();
         let of = |indices: &[usize]| -> Vec<_> {
             indices
                 .iter()
@@ -72,7 +75,7 @@
 fn nodes_of_a_region_take_turns_to_pass_news_on() {
     run(async {
         let nodes = nodes_in_regions(OF_ZONE);
-        let relays_of_next = || nodes[0].next_zone_news(true).unwrap().1;
+        let relays_of_next = || nodes[0].next_zone_update(true).unwrap().1;
         let (first, second) = (relays_of_next(), relays_of_next());
         assert_eq!(first[0], second[0]);
         assert_ne!(first[1], second[1]);
@@ -173,8 +176,8 @@
         fleet.lose([1]);
         sleep(BOUND).await;
         let key = PartKey(7);
-        let news = HolderNews(key, BackEndName::new("e1"));
-        fleet.nodes[FIRST_OF_B].state_mut().zone_news.push(news);
+        let news = HolderUpdate(key, BackEndName::new("e1"));
+        fleet.nodes[FIRST_OF_B].state_mut().zone_updates.push(news);
         let has_heard = |node: &Gateway| node.state().holders.of(key).count() == 1;
         let own_region = (0..OF_REGION).filter(|index| *index != 1);
         let after = fleet.until(own_region, LONG_ENOUGH, has_heard).await;
@@ -367,11 +370,11 @@
 fn far_nodes_are_not_told_directly_what_zone_news_tell() {
     run(async {
         let nodes = nodes_in_regions(OF_ZONE);
-        let news = HolderNews(PartKey(7), BackEndName::new("e1"));
-        nodes[0].state_mut().holder_news.push(news);
+        let news = HolderUpdate(PartKey(7), BackEndName::new("e1"));
+        nodes[0].state_mut().holder_updates.push(news);
         let message = nodes[0].peer_message(false);
         let receivers = addresses(&nodes[1..]);
-        let addressed = nodes[0].addressed(message, receivers.clone());
+        let addressed = nodes[0].messages_for(message, receivers.clone());
         let with_news = addressed
             .iter()
             .filter(|(message, _)| !message.holders.is_empty());
--- a/crates/gateway/tests/release_director.rs
+++ b/crates/gateway/tests/release_director.rs
@@ -491,7 +491,7 @@
     run_paused(async {
         let orders = Rc::new(ReleaseOrders::default());
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.state_mut().is_source_reached = true;
+        node.gateway.state_mut().is_source_reachable = true;
         sleep(Duration::from_secs(5)).await;
         assert!(node.gateway.state().releases.knows_orders);
         orders.order("a", "v2", RAMP);
--- a/crates/gateway/tests/release_lease.rs
+++ b/crates/gateway/tests/release_lease.rs
@@ -77,7 +77,7 @@
             return;
         }
         let (own, other) = (&self.node.gateway, &other.node.gateway);
-        other.hear_peer(own.peer_message(true));
+        other.receive_peer_message(own.peer_message(true));
         for grant in own.known_grants() {
             other.take_recorded_grant(grant);
         }
--- a/crates/gateway/tests/release_orders.rs
+++ b/crates/gateway/tests/release_orders.rs
@@ -20,7 +20,8 @@
 /// A node that hears another one with the lease of orders, so that it follows nothing.
 async fn hear_holder(node: &ReleaseNode, holder: &ReleaseNode, time: Duration) {
     for _ in 0..time.as_millis() / 250 {
-        node.gateway.hear_peer(holder.gateway.peer_message(true));
+        node.gateway
+            .receive_peer_message(holder.gateway.peer_message(true));
         sleep(Duration::from_millis(250)).await;
     }
 }
@@ -106,9 +107,9 @@
         let node = ReleaseNode::start("node-1", &orders);
         sleep(SETTLED).await;
         orders.take_calls();
-        node.gateway.state_mut().is_source_reached = false;
+        node.gateway.state_mut().is_source_reachable = false;
         sleep(Duration::from_millis(600)).await;
-        node.gateway.state_mut().is_source_reached = true;
+        node.gateway.state_mut().is_source_reachable = true;
         sleep(Duration::from_secs(5)).await;
         assert_eq!(orders.take_calls().all(), 0);
     });
@@ -321,7 +322,7 @@
         orders.order("a", "v2", RAMP);
         let node = ReleaseNode::start("node-1", &orders);
         // Another node is the candidate for the lease, and tells this one nothing.
-        node.gateway.state_mut().is_source_reached = false;
+        node.gateway.state_mut().is_source_reachable = false;
         sleep(Duration::from_millis(1_500)).await;
         let (grant, _) = node.grant("a").expect("grant");
         assert_eq!((grant.stage, grant.share), (Stage::Trial, 0.0));
@@ -336,7 +337,7 @@
         let orders = Rc::new(ReleaseOrders::default());
         let node = ReleaseNode::start("node-1", &orders);
         list_engines(&node.gateway, engines(&["v1"]));
-        node.gateway.state_mut().is_source_reached = false;
+        node.gateway.state_mut().is_source_reachable = false;
         sleep(Duration::from_secs(10)).await;
         assert_eq!(orders.take_calls().all(), 0);
     });
--- a/crates/gateway/tests/releases_intake.rs
+++ b/crates/gateway/tests/releases_intake.rs
@@ -37,7 +37,7 @@
             // They have heard of each other before.
             let others = (0..nodes).filter(|other| *other != index);
             for other in others {
-                node.hear_peer(new_node(other, ZONE).peer_message(false));
+                node.receive_peer_message(new_node(other, ZONE).peer_message(false));
             }
             node.publish_grant(grant(Stage::Trial, 0.5, 1));
             sent += count_of(&versions_of(&node, REQUESTS), TARGET);
@@ -188,11 +188,11 @@
         director.publish_grant(grant(Stage::Trial, 1.0, 7));
         let late = director.peer_message(false);
         director.publish_grant(grant(Stage::RolledBack, 0.0, 3));
-        node.hear_peer(director.peer_message(false));
+        node.receive_peer_message(director.peer_message(false));
         let mut late = late;
         late.sequence += 10;
         assert_eq!(late.releases.len(), 1);
-        node.hear_peer(late);
+        node.receive_peer_message(late);
         assert_eq!(versions_of(&node, REQUESTS), all(PRESENT));
     });
 }
@@ -279,9 +279,9 @@
 fn node_learns_with_an_introduction_that_orders_are_known() {
     run_paused(async {
         let (knowing, node) = (lone_node().await, new_node(1, ZONE));
-        node.hear_peer(knowing.peer_message(false));
+        node.receive_peer_message(knowing.peer_message(false));
         assert!(!node.state().releases.knows_orders);
-        node.hear_peer(knowing.peer_message(true));
+        node.receive_peer_message(knowing.peer_message(true));
         assert!(node.state().releases.knows_orders);
     });
 }
@@ -428,7 +428,7 @@
         list_engines(&node, both_versions());
         let director = lone_node().await;
         director.publish_grant(grant(Stage::RolledBack, 0.0, 1));
-        node.hear_peer(director.peer_message(true));
+        node.receive_peer_message(director.peer_message(true));
         node.refresh_releases();
         let versions = versions_of(&node, REQUESTS);
         assert!(count_of(&versions, TARGET) > REQUESTS / 4);
--- a/crates/gateway/tests/releases_news.rs
+++ b/crates/gateway/tests/releases_news.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use ryerouter_core::identity::BackEndName;
 use ryerouter_core::release::{Counts, Stage, key_of};
-use ryerouter_gateway::gateway::{Gateway, Parcel};
+use ryerouter_gateway::gateway::{AddressedZoneUpdate, Gateway};
 use ryerouter_gateway::release::{AnswerEnd, AnswerTiming};
 use support::fleet::{deliver, introduce};
 use support::gateway_bench::{list_engines, run_paused};
@@ -91,7 +91,7 @@
         for receiver in from.peer_receivers(false, random) {
             let to = index_of(nodes, receiver);
             if !dead.contains(&to) {
-                nodes[to].hear_peer(message.clone());
+                nodes[to].receive_peer_message(message.clone());
             }
         }
     }
@@ -100,12 +100,16 @@
 /// One node of each zone tells the others what its zone has seen.
 fn tell_zones(nodes: &[Rc<Gateway>]) {
     for teller in [&nodes[0], &nodes[6]] {
-        let parcel = teller.next_zone_news(true).expect("news");
+        let parcel = teller.next_zone_update(true).expect("news");
         deliver(nodes, vec![parcel]);
     }
 }
 
-fn without(nodes: &[Rc<Gateway>], dead: &[usize], parcels: Vec<Parcel>) -> Vec<Parcel> {
+fn without(
+    nodes: &[Rc<Gateway>],
+    dead: &[usize],
+    parcels: Vec<AddressedZoneUpdate>,
+) -> Vec<AddressedZoneUpdate> {
     let lives = |address: &std::net::SocketAddr| !dead.contains(&index_of(nodes, *address));
     let living = parcels.into_iter().map(|(news, to)| {
         let to = to.into_iter().filter(lives).collect();
@@ -125,7 +129,7 @@
     run_paused(async move {
         let nodes = two_zones().await;
         nodes[0].publish_grant(grant(Stage::RolledBack, 0.0, 1));
-        let parcels = without(&nodes, dead, nodes[0].next_load_news());
+        let parcels = without(&nodes, dead, nodes[0].next_urgent_updates());
         assert!(!parcels.is_empty());
         deliver(&nodes, parcels);
         let living = (0..nodes.len()).filter(|index| !dead.contains(index));
@@ -133,7 +137,7 @@
             .filter(|index| stage_at(&nodes[*index]) != Some(Stage::RolledBack))
             .collect();
         assert!(ignorant.is_empty(), "{ignorant:?}");
-        assert!(nodes[0].next_load_news().is_empty());
+        assert!(nodes[0].next_urgent_updates().is_empty());
     });
 }
 
@@ -143,7 +147,7 @@
         let nodes = two_zones().await;
         let dead = [6, 7];
         nodes[0].publish_grant(grant(Stage::RolledBack, 0.0, 1));
-        let parcels = without(&nodes, &dead, nodes[0].next_load_news());
+        let parcels = without(&nodes, &dead, nodes[0].next_urgent_updates());
         deliver(&nodes, parcels);
         let mut random = StdRng::seed_from_u64(1);
         // Heartbeats are 0.3 s apart.
@@ -162,13 +166,13 @@
     run_paused(async {
         let nodes = two_zones().await;
         // What the introductions made urgent has gone out.
-        nodes[0].peer_news_is_urgent().await;
+        nodes[0].peer_send_requested().await;
         nodes[0].publish_grant(grant(Stage::Trial, 0.05, 1));
-        assert!(nodes[0].peer_news_is_urgent().now_or_never().is_some());
-        assert!(!nodes[0].next_load_news().is_empty());
+        assert!(nodes[0].peer_send_requested().now_or_never().is_some());
+        assert!(!nodes[0].next_urgent_updates().is_empty());
         nodes[0].publish_grant(grant(Stage::Trial, 0.0, 2));
-        assert!(nodes[0].peer_news_is_urgent().now_or_never().is_none());
-        assert!(nodes[0].next_load_news().is_empty());
+        assert!(nodes[0].peer_send_requested().now_or_never().is_none());
+        assert!(nodes[0].next_urgent_updates().is_empty());
     });
 }
 
@@ -177,7 +181,7 @@
     run_paused(async {
         let nodes = two_zones().await;
         nodes[0].publish_grant(grant(Stage::Trial, 0.05, 1));
-        deliver(&nodes, nodes[0].next_load_news());
+        deliver(&nodes, nodes[0].next_urgent_updates());
         for node in &nodes {
             see_answers(
                 node,
@@ -219,7 +223,7 @@
             let message = first.peer_message(false);
             let bytes = serde_json::to_vec(&message).expect("message");
             assert!(bytes.len() < 20_000, "{} bytes", bytes.len());
-            second.hear_peer(message);
+            second.receive_peer_message(message);
         }
         assert_eq!(counts(&second).target().answers, engines);
     });
@@ -241,20 +245,20 @@
         introduce(&small);
         small[0].publish_grant(grant(Stage::Trial, 0.05, 1));
         for node in &small[1..] {
-            node.hear_peer(small[0].peer_message(false));
+            node.receive_peer_message(small[0].peer_message(false));
             see_answers(node, "new-1", TARGET, AnswerEnd::Failed, ANSWERS);
         }
         for node in &small[1..] {
-            small[0].hear_peer(node.peer_message(false));
+            small[0].receive_peer_message(node.peer_message(false));
         }
         assert_eq!(counts(&small[0]).target().answers, 3 * ANSWERS);
         for node in &nodes[2..] {
-            small[0].hear_peer(node.peer_message(true));
+            small[0].receive_peer_message(node.peer_message(true));
         }
         assert!(small[0].state().peers.is_large());
         // Those of the other zone are told by the zone now.
         assert_eq!(counts(&small[0]).target().answers, ANSWERS);
-        let news = small[0].next_zone_news(true).expect("news").0;
+        let news = small[0].next_zone_update(true).expect("news").0;
         assert_eq!(news.evidence[0].1.target().answers, ANSWERS);
     });
 }
@@ -266,14 +270,14 @@
         director.publish_grant(grant(Stage::Trial, 0.05, 1));
         for incarnation in [21, 22] {
             let node = node_with_orders(1, ZONE).await;
-            node.hear_peer(director.peer_message(true));
+            node.receive_peer_message(director.peer_message(true));
             see_answers(&node, "new-1", TARGET, AnswerEnd::Failed, ANSWERS);
             let mut message = node.peer_message(false);
             message.from.incarnation = incarnation;
-            director.hear_peer(message.clone());
+            director.receive_peer_message(message.clone());
             // The same again changes nothing.
             message.sequence += 1;
-            director.hear_peer(message);
+            director.receive_peer_message(message);
         }
         assert_eq!(counts(&director).target().answers, 2 * ANSWERS);
     });
@@ -287,10 +291,10 @@
         let third = node_with_orders(2, ZONE).await;
         first.publish_grant(grant(Stage::Shifting, 1.0, 1));
         advance(Duration::from_secs(1)).await;
-        second.hear_peer(first.peer_message(false));
+        second.receive_peer_message(first.peer_message(false));
         assert!(count_of(&versions_of(&second, REQUESTS), TARGET) > 0);
         advance(Duration::from_millis(1_100)).await;
-        third.hear_peer(second.peer_message(false));
+        third.receive_peer_message(second.peer_message(false));
         let (_, age) = third.known_grant(&pool()).expect("grant");
         assert_eq!(age.as_millis(), 2_100);
         // It holds for 2 s.
@@ -305,11 +309,11 @@
         let (first, second) = (lone_node().await, node_with_orders(1, ZONE).await);
         first.publish_grant(grant(Stage::Shifting, 1.0, 1));
         let message = first.peer_message(false);
-        second.hear_peer(message.clone());
+        second.receive_peer_message(message.clone());
         advance(Duration::from_secs(3)).await;
         let mut late = message;
         late.sequence += 10;
-        second.hear_peer(late);
+        second.receive_peer_message(late);
         assert_eq!(count_of(&versions_of(&second, REQUESTS), TARGET), 0);
     });
 }
@@ -448,7 +452,7 @@
     run_paused(async {
         let node = lone_node().await;
         for other in [new_node(1, ZONE), new_node(2, ZONE)] {
-            node.hear_peer(other.peer_message(true));
+            node.receive_peer_message(other.peer_message(true));
         }
         let is_held_up = || node.release_fleet(&order(TARGET, 50)).has_silent_nodes;
         assert!(!is_held_up());
--- a/crates/gateway/tests/releases_placement.rs
+++ b/crates/gateway/tests/releases_placement.rs
@@ -51,7 +51,7 @@
     let node = node_with(all_engines());
     let mut message = new_node(1, ZONE).peer_message(true);
     message.known_nodes = NODES;
-    node.hear_peer(message);
+    node.receive_peer_message(message);
     assert!(node.state().peers.is_large());
     node.publish_grant(grant(Stage::RolledBack, 0.0, 1));
     node
@@ -117,7 +117,7 @@
             demand.count(&pool(), TOKENS_PER_SECOND, now);
         }
         let division = |node: &Gateway| {
-            node.refresh_divisions();
+            node.refresh_prefill_splits();
             node.state_mut().divisions.remove(&pool())
         };
         let expected = division(&alone);
--- a/crates/gateway/tests/releases_play.rs
+++ b/crates/gateway/tests/releases_play.rs
@@ -123,11 +123,11 @@
             for receiver in from.peer_receivers(false, &mut self.random) {
                 let is_it = |node: &&Rc<Gateway>| node.settings().identity.peer_address == receiver;
                 let to = self.nodes.iter().find(is_it).expect("node");
-                to.hear_peer(message.clone());
+                to.receive_peer_message(message.clone());
             }
         }
         for teller in [0, NODES / 2] {
-            let parcel = self.nodes[teller].next_zone_news(true).expect("news");
+            let parcel = self.nodes[teller].next_zone_update(true).expect("news");
             deliver(&self.nodes, vec![parcel]);
         }
     }
@@ -151,7 +151,7 @@
         );
         if is_stage || tick % TICKS_PER_HEARTBEAT == 0 {
             director.publish_grant(trial.grant(50, 1, tick as u64 + 1, now));
-            deliver(&play.nodes, director.next_load_news());
+            deliver(&play.nodes, director.next_urgent_updates());
         }
         if trial.stage().is_final() {
             ended_after.get_or_insert(elapsed);
--- a/crates/gateway/tests/releases_regions.rs
+++ b/crates/gateway/tests/releases_regions.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use ryerouter_core::release::{CountKey, Judgement, Stage};
-use ryerouter_gateway::gateway::{Gateway, Parcel};
+use ryerouter_gateway::gateway::{AddressedZoneUpdate, Gateway};
 use support::fleet::{ZONES, addresses, deliver, introduce, three_regions};
 use support::gateway_bench::{list_engines, run_paused};
 use support::releases::{both_versions, grant, new_node_at, order, pool};
@@ -37,13 +37,17 @@
 }
 
 /// Delivers news, but none to a node that is dead.
-fn deliver_to_living(nodes: &[Rc<Gateway>], dead: Option<usize>, parcels: Vec<Parcel>) {
+fn deliver_to_living(
+    nodes: &[Rc<Gateway>],
+    dead: Option<usize>,
+    parcels: Vec<AddressedZoneUpdate>,
+) {
     let dead = dead.map(|index| nodes[index].settings().identity.peer_address);
     let mut waiting = parcels;
     while let Some((news, receivers)) = waiting.pop() {
         for receiver in receivers.into_iter().filter(|to| Some(*to) != dead) {
             let to = addresses(nodes).iter().position(|each| *each == receiver);
-            waiting.extend(nodes[to.expect("receiver")].hear_zone(&news));
+            waiting.extend(nodes[to.expect("receiver")].receive_zone_update(&news));
         }
     }
 }
@@ -60,7 +64,7 @@
     run_paused(async move {
         let nodes = three_regions_of_nodes().await;
         nodes[0].publish_grant(grant(Stage::RolledBack, 0.0, 1));
-        deliver_to_living(&nodes, dead, nodes[0].next_load_news());
+        deliver_to_living(&nodes, dead, nodes[0].next_urgent_updates());
         let living = (0..nodes.len()).filter(|index| Some(*index) != dead);
         let ignorant: Vec<_> = living
             .filter(|index| stage_at(&nodes[*index]) != Some(Stage::RolledBack))
@@ -74,7 +78,7 @@
     run_paused(async {
         let nodes = three_regions_of_nodes().await;
         nodes[0].publish_grant(grant(Stage::Trial, 0.05, 1));
-        deliver(&nodes, nodes[0].next_load_news());
+        deliver(&nodes, nodes[0].next_urgent_updates());
         for node in &nodes {
             let mut state = node.state_mut();
             let ledger = &mut state.releases.of_mut(&pool()).expect("release").ledger;
@@ -93,11 +97,11 @@
                 let message = from.peer_message(false);
                 for receiver in from.peer_receivers(false, &mut random) {
                     let to = addresses(&nodes).iter().position(|each| *each == receiver);
-                    nodes[to.expect("receiver")].hear_peer(message.clone());
+                    nodes[to.expect("receiver")].receive_peer_message(message.clone());
                 }
             }
             for teller in nodes.iter().step_by(OF_ZONE) {
-                deliver(&nodes, teller.next_zone_news(true).into_iter().collect());
+                deliver(&nodes, teller.next_zone_update(true).into_iter().collect());
             }
         }
         let expected = ANSWERS * nodes.len() as u32;
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -303,7 +303,7 @@
         keyed.is_public = false;
         let (_engine, address) = ScriptedEngine::start([]).await;
         let mut settings = settings("node-1");
-        settings.most_unproven = Some(Duration::ZERO);
+        settings.max_unconfirmed_age = Some(Duration::ZERO);
         let entries = vec![engine("e1", address, 1)];
         let routes = vec![keyed];
         let bench = GatewayBench::start_with(settings, Some(table(1, routes)), entries).await;
--- a/crates/gateway/tests/signal_news.rs
+++ b/crates/gateway/tests/signal_news.rs
@@ -50,10 +50,10 @@
 /// Each node tells what it has to tell at once.
 fn tell(nodes: &[Rc<Gateway>]) {
     for from in nodes {
-        deliver(nodes, from.next_load_news());
+        deliver(nodes, from.next_urgent_updates());
         let message = from.peer_message(false);
         for to in nodes.iter().filter(|_| nodes.len() < 10) {
-            to.hear_peer(message.clone());
+            to.receive_peer_message(message.clone());
         }
     }
 }
@@ -105,7 +105,7 @@
             tell(&nodes);
         }
         let newcomer = node(3);
-        newcomer.hear_peer(nodes[1].peer_message(true));
+        newcomer.receive_peer_message(nodes[1].peer_message(true));
         assert_eq!(limit_at(&newcomer), Some(2.5));
     });
 }
@@ -161,7 +161,7 @@
         while nodes[1].state().limited_engines.len() < ENGINES {
             let message = nodes[0].peer_message(messages % 12 == 0);
             assert!(message.signals.len() <= 48, "{}", message.signals.len());
-            nodes[1].hear_peer(message);
+            nodes[1].receive_peer_message(message);
             messages += 1;
             assert!(messages < 60, "{messages}");
         }
--- a/crates/gateway/tests/silent_review.rs
+++ b/crates/gateway/tests/silent_review.rs
@@ -169,10 +169,14 @@
         nodes[0].take_batch(ItemKind::Weights, batch, Some(now));
         let proven_at = |index: usize| {
             let state = nodes[index].state();
-            state.replicas.of(ItemKind::Weights).freshness.proven_at()
+            state
+                .replicas
+                .of(ItemKind::Weights)
+                .freshness
+                .confirmed_at()
         };
         let before = proven_at(1);
-        nodes[1].hear_peer(nodes[0].peer_message(true));
+        nodes[1].receive_peer_message(nodes[0].peer_message(true));
         assert!(nodes[1].state().replicas.of(ItemKind::Weights).is_behind());
         assert_eq!(proven_at(1), before);
     });
--- a/crates/gateway/tests/support/crashing_nodes.rs
+++ b/crates/gateway/tests/support/crashing_nodes.rs
@@ -122,16 +122,16 @@
     }
 
     /// Each node tells what it has to tell.
-    pub fn tell(&self, is_introduction: bool) {
+    pub fn tell(&self, is_full_update: bool) {
         let gateways = self.gateways();
         for from in &gateways {
-            deliver(&gateways, from.next_load_news());
-            if !is_introduction && gateways.len() > 10 {
+            deliver(&gateways, from.next_urgent_updates());
+            if !is_full_update && gateways.len() > 10 {
                 continue;
             }
-            let message = from.peer_message(is_introduction);
+            let message = from.peer_message(is_full_update);
             for to in &gateways {
-                to.hear_peer(message.clone());
+                to.receive_peer_message(message.clone());
             }
         }
     }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use ryerouter_core::identity::{RegionName, ZoneName};
-use ryerouter_gateway::gateway::{Gateway, Parcel};
+use ryerouter_gateway::gateway::{AddressedZoneUpdate, Gateway};
 use ryerouter_gateway::places::Places;
 use ryerouter_gateway::source::{Item, ItemKind};
 
@@ -45,7 +45,7 @@
 pub fn introduce(nodes: &[Rc<Gateway>]) {
     for from in nodes {
         for to in nodes {
-            to.hear_peer(from.peer_message(true));
+            to.receive_peer_message(from.peer_message(true));
         }
     }
 }
@@ -92,7 +92,7 @@
 }
 
 /// Delivers zone news, and what is passed on; tells how many messages each node has sent on.
-pub fn deliver(nodes: &[Rc<Gateway>], parcels: Vec<Parcel>) -> Vec<usize> {
+pub fn deliver(nodes: &[Rc<Gateway>], parcels: Vec<AddressedZoneUpdate>) -> Vec<usize> {
     let mut waiting = parcels;
     let mut sent = vec![0; nodes.len()];
     while let Some((news, receivers)) = waiting.pop() {
@@ -100,7 +100,7 @@
             let is_receiver =
                 |node: &Rc<Gateway>| node.settings().identity.peer_address == receiver;
             let index = nodes.iter().position(is_receiver).expect("receiver");
-            let passed_on = nodes[index].hear_zone(&news);
+            let passed_on = nodes[index].receive_zone_update(&news);
             sent[index] += passed_on.iter().map(|parcel| parcel.1.len()).sum::<usize>();
             waiting.extend(passed_on);
         }
--- a/crates/gateway/tests/support/followers.rs
+++ b/crates/gateway/tests/support/followers.rs
@@ -46,8 +46,8 @@
             let mut own = settings(&format!("node-{index:02}"));
             own.identity.incarnation = index as u64 + 10;
             own.identity.peer_address = peer_address(index);
-            own.catalogue_bound = Duration::from_secs(2);
-            own.most_unproven = Some(MOST_UNPROVEN);
+            own.propagation_limit = Duration::from_secs(2);
+            own.max_unconfirmed_age = Some(MOST_UNPROVEN);
             gateway_with(own)
         });
         Rc::new(Self {
@@ -87,7 +87,7 @@
             let gateway = Rc::clone(gateway);
             spawn_local(follow(gateway, Rc::clone(&way), kind, how.clone()));
         }
-        let allowed = gateway.settings().most_configuration_age();
+        let allowed = gateway.settings().max_configuration_age();
         spawn_local(keep_fresh(Rc::clone(gateway), way, allowed));
         spawn_local(Rc::clone(self).tell(index));
     }
@@ -101,12 +101,12 @@
         loop {
             tokio::select! {
                 _ = ticks.tick() => beats += 1,
-                () = gateway.peer_news_is_urgent() => {}
+                () = gateway.peer_send_requested() => {}
             }
             let message = gateway.peer_message(beats % 4 == 0);
             for (other, receiver) in self.nodes.iter().enumerate() {
                 if other != index && self.are_connected(index, other) {
-                    receiver.hear_peer(message.clone());
+                    receiver.receive_peer_message(message.clone());
                 }
             }
             gateway.remove_unlisted();
@@ -117,11 +117,11 @@
 
     /// Asks for a configuration piece by piece.
     fn fetch_configuration(&self, index: usize) {
-        let mut next = self.nodes[index].next_fetch();
+        let mut next = self.nodes[index].next_configuration_fetch();
         while let Some((address, fetch)) = next {
             let holder = self.node_at(index, address);
-            let chunk = holder.and_then(|holder| holder.answer_fetch(&fetch));
-            next = chunk.and_then(|chunk| self.nodes[index].take_chunk(chunk));
+            let chunk = holder.and_then(|holder| holder.answer_configuration_fetch(&fetch));
+            next = chunk.and_then(|chunk| self.nodes[index].take_configuration_chunk(chunk));
         }
     }
 
--- a/crates/gateway/tests/support/region_fleet.rs
+++ b/crates/gateway/tests/support/region_fleet.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ryerouter_gateway::gateway::{Gateway, Parcel};
+use ryerouter_gateway::gateway::{AddressedZoneUpdate, Gateway};
 use ryerouter_gateway::peers::{Datagram, NodeState};
 use ryerouter_gateway::places::Distance;
 use ryerouter_gateway::source::{CatalogueSource, FollowSettings, ItemKind, follow, keep_fresh};
@@ -58,8 +58,8 @@
             own.seeds = (0..3)
                 .map(|region| peer_address(region * OF_REGION))
                 .collect();
-            own.catalogue_bound = Duration::from_secs(2);
-            own.most_unproven = Some(MOST_UNPROVEN);
+            own.propagation_limit = Duration::from_secs(2);
+            own.max_unconfirmed_age = Some(MOST_UNPROVEN);
             if knows_regions {
                 own.places = three_regions();
             }
@@ -97,7 +97,7 @@
             let gateway = Rc::clone(gateway);
             spawn_local(follow(gateway, Rc::clone(&way), kind, how.clone()));
         }
-        let allowed = gateway.settings().most_configuration_age();
+        let allowed = gateway.settings().max_configuration_age();
         spawn_local(keep_fresh(Rc::clone(gateway), way, allowed));
         spawn_local(Rc::clone(self).run_link(index));
     }
@@ -118,13 +118,13 @@
                     self.tell(index, tick);
                     let with_loads = tick % TICKS_PER_HEARTBEAT == 0;
                     if with_loads {
-                        self.send_parcels(index, gateway.next_news_of_own_zone());
+                        self.send_zone_updates(index, gateway.next_own_zone_updates());
                     }
-                    self.send_parcels(index, gateway.next_zone_news(with_loads));
+                    self.send_zone_updates(index, gateway.next_zone_update(with_loads));
                     if let Some((address, fetch)) = gateway.next_list_fetch(&mut rand::rng()) {
                         self.send(index, address, Datagram::ListFetch(fetch));
                     }
-                    if let Some((address, fetch)) = gateway.next_fetch() {
+                    if let Some((address, fetch)) = gateway.next_configuration_fetch() {
                         self.send(index, address, Datagram::Fetch(fetch));
                     }
                     let spacing = if gateway.asks_often() { 2 } else { 4 };
@@ -134,9 +134,9 @@
                         self.send(index, reader, Datagram::Question(question));
                     }
                 }
-                () = gateway.peer_news_is_urgent() => {
+                () = gateway.peer_send_requested() => {
                     sleep(GATHER).await;
-                    self.send_parcels(index, gateway.next_load_news());
+                    self.send_zone_updates(index, gateway.next_urgent_updates());
                     self.tell(index, TICKS_PER_HEARTBEAT);
                 }
             }
@@ -145,15 +145,15 @@
 
     fn tell(self: &Rc<Self>, index: usize, tick: u64) {
         let gateway = &self.nodes[index];
-        let is_introduction =
-            tick.is_multiple_of(TICKS_PER_INTRODUCTION) || gateway.owes_introduction();
-        let is_due = is_introduction || tick.is_multiple_of(TICKS_PER_HEARTBEAT);
-        if !is_due && !gateway.has_peer_news() {
+        let is_full_update =
+            tick.is_multiple_of(TICKS_PER_INTRODUCTION) || gateway.owes_full_update();
+        let is_due = is_full_update || tick.is_multiple_of(TICKS_PER_HEARTBEAT);
+        if !is_due && !gateway.has_peer_updates() {
             return;
         }
-        let message = gateway.peer_message(is_introduction);
-        let receivers = gateway.peer_receivers(is_introduction, &mut rand::rng());
-        for (message, receivers) in gateway.addressed(message, receivers) {
+        let message = gateway.peer_message(is_full_update);
+        let receivers = gateway.peer_receivers(is_full_update, &mut rand::rng());
+        for (message, receivers) in gateway.messages_for(message, receivers) {
             for receiver in receivers {
                 let datagram = Datagram::Message(Box::new(message.clone()));
                 self.send(index, receiver, datagram);
@@ -161,7 +161,11 @@
         }
     }
 
-    fn send_parcels(self: &Rc<Self>, from: usize, parcels: impl IntoIterator<Item = Parcel>) {
+    fn send_zone_updates(
+        self: &Rc<Self>,
+        from: usize,
+        parcels: impl IntoIterator<Item = AddressedZoneUpdate>,
+    ) {
         for (news, receivers) in parcels {
             for receiver in receivers {
                 self.send(from, receiver, Datagram::Zone(news.clone()));
@@ -195,7 +199,7 @@
         let gateway = &self.nodes[to];
         let back = peer_address(from);
         match datagram {
-            Datagram::Message(message) => gateway.hear_peer(*message),
+            Datagram::Message(message) => gateway.receive_peer_message(*message),
             Datagram::Question(question) => {
                 let answer = gateway.answer_question(&question);
                 self.send(to, back, Datagram::Answer(answer));
@@ -207,12 +211,12 @@
                 }
             }
             Datagram::Fetch(fetch) => {
-                if let Some(chunk) = gateway.answer_fetch(&fetch) {
+                if let Some(chunk) = gateway.answer_configuration_fetch(&fetch) {
                     self.send(to, back, Datagram::Chunk(chunk));
                 }
             }
             Datagram::Chunk(chunk) => {
-                if let Some((address, fetch)) = gateway.take_chunk(chunk) {
+                if let Some((address, fetch)) = gateway.take_configuration_chunk(chunk) {
                     self.send(to, address, Datagram::Fetch(fetch));
                 }
             }
@@ -227,7 +231,7 @@
                     self.send(to, address, Datagram::ListFetch(fetch));
                 }
             }
-            Datagram::Zone(news) => self.send_parcels(to, gateway.hear_zone(&news)),
+            Datagram::Zone(news) => self.send_zone_updates(to, gateway.receive_zone_update(&news)),
         }
     }
 
--- a/crates/gateway/tests/support/signalling.rs
+++ b/crates/gateway/tests/support/signalling.rs
@@ -91,13 +91,13 @@
     }
 
     /// Each node tells what it has to tell.
-    fn tell(&self, is_introduction: bool) {
+    fn tell(&self, is_full_update: bool) {
         let gateways = self.gateways();
         for from in &gateways {
-            deliver(&gateways, from.next_load_news());
-            let message = from.peer_message(is_introduction);
+            deliver(&gateways, from.next_urgent_updates());
+            let message = from.peer_message(is_full_update);
             for to in &gateways {
-                to.hear_peer(message.clone());
+                to.receive_peer_message(message.clone());
             }
         }
     }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -91,9 +91,9 @@
     });
 }
 
-fn gateway_that_suspends(most_unproven: Duration) -> Rc<Gateway> {
+fn gateway_that_suspends(max_unconfirmed_age: Duration) -> Rc<Gateway> {
     let mut own = settings("node-1");
-    own.most_unproven = Some(most_unproven);
+    own.max_unconfirmed_age = Some(max_unconfirmed_age);
     let log = Logger::root(slog::Discard, o!());
     Gateway::with_clock(own, Rc::new(TestDialect), log, clock())
 }
@@ -138,7 +138,7 @@
     run_paused(async {
         let gateway = gateway_that_suspends(LONG);
         let other = node(7);
-        gateway.hear_peer(other.peer_message(false));
+        gateway.receive_peer_message(other.peer_message(false));
         let name = &other.settings().identity.name;
         let is_alive = || gateway.state().peers.is_alive(name, gateway.clock().now());
         assert!(is_alive());
--- a/crates/gateway/tests/tenant_limits.rs
+++ b/crates/gateway/tests/tenant_limits.rs
@@ -132,11 +132,11 @@
         tokio::time::sleep(Duration::from_secs(3)).await;
         introduce(&[Rc::clone(&first), Rc::clone(&second)]);
         ask_often(&first, 400).await;
-        second.hear_peer(first.peer_message(false));
+        second.receive_peer_message(first.peer_message(false));
         assert!(asked_as_seen_by(&second) > 200.0);
         // The other node has left nothing of the limit.
         ask_often(&first, 400).await;
-        second.hear_peer(first.peer_message(false));
+        second.receive_peer_message(first.peer_message(false));
         second.refresh_quotas();
         let admitted = ask_often(&second, 100).await;
         assert!(admitted < 70, "{admitted}");
@@ -153,11 +153,11 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         introduce(&nodes);
         ask_often(&nodes[3], 400).await;
-        nodes[0].hear_peer(nodes[3].peer_message(false));
+        nodes[0].receive_peer_message(nodes[3].peer_message(false));
         introduce(&nodes[..6]);
-        let (news, _) = nodes[0].next_zone_news(true).unwrap();
+        let (news, _) = nodes[0].next_zone_update(true).unwrap();
         assert_eq!(news.usages.len(), 1);
-        nodes[6].hear_zone(&news);
+        nodes[6].receive_zone_update(&news);
         nodes[6].refresh_quotas();
         assert!(asked_as_seen_by(&nodes[6]) > 100.0);
     });
--- a/crates/gateway/tests/unusable_entries.rs
+++ b/crates/gateway/tests/unusable_entries.rs
@@ -36,7 +36,7 @@
 }
 
 fn trouble(gateway: &Gateway) {
-    gateway.note_source_trouble(ItemKind::Engines, FAILURES_OF_TROUBLE);
+    gateway.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
 }
 
 /// An entry that only goes is waited for then, since the source loses entries of engines that serve.
--- a/crates/gateway/tests/wide_zone.rs
+++ b/crates/gateway/tests/wide_zone.rs
@@ -11,7 +11,7 @@
 use ryerouter_core::identity::BackEndName;
 use ryerouter_gateway::engines::{EngineLoad, InFlight};
 use ryerouter_gateway::gateway::Gateway;
-use ryerouter_gateway::peers::{Capacity, Datagram, HolderNews, NodeState};
+use ryerouter_gateway::peers::{Capacity, Datagram, HolderUpdate, NodeState};
 use ryerouter_gateway::placement::PartKey;
 use support::fleet::{addresses, deliver, introduce, node};
 use support::gateway_bench::run_paused;
@@ -74,10 +74,10 @@
         // A fifth of the nodes have a request there; none of them knows of another by itself.
         let working: Vec<_> = nodes.iter().step_by(5).map(|node| work_at(node)).collect();
         for node in &nodes[1..] {
-            nodes[0].hear_peer(node.peer_message(false));
+            nodes[0].receive_peer_message(node.peer_message(false));
         }
-        assert!(nodes[1].next_news_of_own_zone().is_empty());
-        let sent = deliver(&nodes, nodes[0].next_news_of_own_zone());
+        assert!(nodes[1].next_own_zone_updates().is_empty());
+        let sent = deliver(&nodes, nodes[0].next_own_zone_updates());
         for (index, node) in nodes.iter().enumerate() {
             node.refresh_foreign_loads();
             let state = node.state();
@@ -95,8 +95,8 @@
     run_paused(async {
         let nodes = zone_of(100);
         let _working = work_at(&nodes[3]);
-        nodes[0].hear_peer(nodes[3].peer_message(false));
-        let (news, _) = nodes[0].next_zone_news(true).unwrap();
+        nodes[0].receive_peer_message(nodes[3].peer_message(false));
+        let (news, _) = nodes[0].next_zone_update(true).unwrap();
         assert_eq!(news.loads, Some(Vec::new()));
     });
 }
@@ -128,7 +128,7 @@
         let mut message = nodes[60].peer_message(false);
         message.from.capacity = Capacity(1_000);
         for node in &nodes[..60] {
-            node.hear_peer(message.clone());
+            node.receive_peer_message(message.clone());
         }
         let (reader, _) = nodes[1].next_question().unwrap();
         assert_eq!(reader, message.from.peer_address);
@@ -141,18 +141,18 @@
     run_paused(async {
         let nodes = zone_of(100);
         let key = PartKey(7);
-        let news = HolderNews(key, BackEndName::new("e1"));
-        nodes[40].state_mut().holder_news.push(news);
-        assert!(!nodes[40].has_peer_news());
-        nodes[0].hear_peer(nodes[40].peer_message(false));
-        deliver(&nodes, nodes[0].next_news_of_own_zone());
+        let news = HolderUpdate(key, BackEndName::new("e1"));
+        nodes[40].state_mut().holder_updates.push(news);
+        assert!(!nodes[40].has_peer_updates());
+        nodes[0].receive_peer_message(nodes[40].peer_message(false));
+        deliver(&nodes, nodes[0].next_own_zone_updates());
         let heard = nodes.iter().filter(|node| node.state().holders.knows(key));
         assert!(heard.count() >= 99);
         // The other zones hear of it with the same heartbeat.
-        assert_eq!(nodes[0].next_zone_news(false), None);
-        let (news, _) = nodes[0].next_zone_news(true).unwrap();
+        assert_eq!(nodes[0].next_zone_update(false), None);
+        let (news, _) = nodes[0].next_zone_update(true).unwrap();
         assert_eq!(news.holders.len(), 1);
-        assert!(nodes[0].state().zone_news.is_empty());
+        assert!(nodes[0].state().zone_updates.is_empty());
     });
 }
 
@@ -162,15 +162,15 @@
     run_paused(async {
         let nodes = zone_of(100);
         nodes[0].peer_message(true);
-        assert!(!nodes[0].owes_introduction());
+        assert!(!nodes[0].owes_full_update());
         let newcomer = node(200);
         for node in &nodes[1..20] {
-            newcomer.hear_peer(node.peer_message(true));
+            newcomer.receive_peer_message(node.peer_message(true));
         }
         // It has heard of many, and so have they of it.
-        nodes[0].hear_peer(newcomer.peer_message(false));
-        assert!(!nodes[0].owes_introduction());
-        nodes[0].hear_peer(node(201).peer_message(false));
-        assert!(nodes[0].owes_introduction());
+        nodes[0].receive_peer_message(newcomer.peer_message(false));
+        assert!(!nodes[0].owes_full_update());
+        nodes[0].receive_peer_message(node(201).peer_message(false));
+        assert!(nodes[0].owes_full_update());
     });
 }
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -8,7 +8,7 @@
 use ryerouter_core::identity::BackEndName;
 use ryerouter_gateway::engines::{EngineLoad, InFlight};
 use ryerouter_gateway::gateway::Gateway;
-use ryerouter_gateway::peers::HolderNews;
+use ryerouter_gateway::peers::HolderUpdate;
 use ryerouter_gateway::placement::{CandidateCost, PartKey, Placement, PromptKeys};
 use support::fleet::{addresses, deliver, introduce, node, node_in, two_zones};
 use support::gateway_bench::{gateway_with, run, settings};
@@ -26,15 +26,15 @@
         let now = nodes[3].clock().now();
         nodes[3]
             .state_mut()
-            .holder_news
-            .push(HolderNews(key, engine.clone()));
-        nodes[0].hear_peer(nodes[3].peer_message(false));
-        assert!(nodes[3].next_zone_news(true).is_none());
-        let (news, relays) = nodes[0].next_zone_news(false).unwrap();
+            .holder_updates
+            .push(HolderUpdate(key, engine.clone()));
+        nodes[0].receive_peer_message(nodes[3].peer_message(false));
+        assert!(nodes[3].next_zone_update(true).is_none());
+        let (news, relays) = nodes[0].next_zone_update(false).unwrap();
         assert_eq!(relays, addresses(&nodes[6..7]));
         deliver(&nodes, vec![(news, relays)]);
         assert!(nodes[6..].iter().all(|node| heard(node) == 1));
-        assert!(nodes[0].next_zone_news(false).is_none());
+        assert!(nodes[0].next_zone_update(false).is_none());
         assert!(nodes[0].clock().now() >= now);
     });
 }
@@ -54,16 +54,16 @@
             Rc::clone(&state.engines.get(&engine).unwrap().own_load)
         };
         let working = InFlight::new(own_load, load);
-        let (news, _) = nodes[0].next_zone_news(true).unwrap();
-        nodes[6].hear_zone(&news);
+        let (news, _) = nodes[0].next_zone_update(true).unwrap();
+        nodes[6].receive_zone_update(&news);
         let seen = |node: &Gateway| {
             node.refresh_foreign_loads();
             node.state().engines.get(&engine).unwrap().load()
         };
         assert_eq!(seen(&nodes[6]), load);
         drop(working);
-        let (news, _) = nodes[0].next_zone_news(true).unwrap();
-        nodes[6].hear_zone(&news);
+        let (news, _) = nodes[0].next_zone_update(true).unwrap();
+        nodes[6].receive_zone_update(&news);
         assert_eq!(seen(&nodes[6]), EngineLoad::default());
     });
 }
@@ -115,7 +115,7 @@
         };
         assert_eq!(taking(), nodes.len());
         nodes[3].note_loading(&engine, "model", 2, Duration::from_secs(3));
-        let parcels = nodes[3].next_load_news();
+        let parcels = nodes[3].next_urgent_updates();
         let first: usize = parcels.iter().map(|parcel| parcel.1.len()).sum();
         let sent = deliver(&nodes, parcels);
         assert_eq!(taking(), 0);
@@ -124,9 +124,9 @@
         let bound = 2 * (of_zone as f64).sqrt().ceil() as usize + 2;
         assert!(most <= bound, "{most} messages of one node");
         nodes[3].note_loaded(&engine, "model", 2, Duration::from_secs(1));
-        deliver(&nodes, nodes[3].next_load_news());
+        deliver(&nodes, nodes[3].next_urgent_updates());
         assert_eq!(taking(), nodes.len());
-        assert!(nodes[3].next_load_news().is_empty());
+        assert!(nodes[3].next_urgent_updates().is_empty());
     });
 }
 
@@ -136,7 +136,7 @@
         let nodes: Vec<_> = (0..7).map(node).collect();
         introduce(&nodes);
         nodes[0].note_loading(&BackEndName::new("e1"), "model", 2, Duration::from_secs(3));
-        assert!(nodes[0].next_load_news().is_empty());
+        assert!(nodes[0].next_urgent_updates().is_empty());
         assert_eq!(nodes[0].peer_message(false).weights.len(), 1);
         let receivers = nodes[0].peer_receivers(false, &mut rand::rng());
         assert_eq!(receivers, addresses(&nodes[1..]));
