--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -1,4 +1,4 @@
-//! What engines say of themselves in their answers; see docs/design/backpressure.md.
+//! Applies backpressure signals in the responses of engines; see docs/design/backpressure.md.
 
 use std::time::Duration;
 
@@ -15,18 +15,19 @@
 use crate::peers::{NodeIdentity, SignalUpdate};
 use crate::request::AnswerFacts;
 
-/// Most engines that one message tells of; more wait for the next.
+/// Maximum number of engines that one message reports; more wait for the next.
 const MAX_UPDATES_PER_MESSAGE: usize = 32;
-/// Most engines that an introduction tells of: others with the next.
+/// Maximum number of engines' signals in a full update; the next one carries others.
 const MAX_PER_FULL_UPDATE: usize = 16;
-/// News are told so often where they go to each node directly: a datagram may be lost. Elsewhere they are passed
-/// on by two nodes of each zone.
+/// Transmissions of an update where messages go to each node directly, since a datagram may be
+/// lost. In larger deployments two nodes of each zone forward updates instead.
 const TRANSMISSIONS: u32 = 3;
-/// Most limits whose shares are computed anew at once; the others follow by turns.
+/// Maximum number of limits whose shares are recomputed in one pass; the others follow in the next
+/// passes.
 const MAX_REFRESHED_LIMITS: usize = 32;
 
 impl Gateway {
-    /// Takes what the answer to a request that was sent at `sent_at` says of its engine.
+    /// Applies the signals in the response to a request that was sent at `sent_at`.
     pub fn note_signal(
         &self,
         request: &str,
@@ -40,7 +41,7 @@
         let Some(engine) = state.engines.get(name) else {
             return;
         };
-        // Nearly all answers of nearly all engines say nothing.
+        // Nearly all responses carry no signal.
         if facts.signal.is_empty() && engine.condition.limit().is_none() {
             return;
         }
@@ -104,7 +105,7 @@
             "share" => limit.map(|limit| limit.share()), "left_out" => left_out);
     }
 
-    /// A request is sent to an engine.
+    /// Counts a request sent to an engine against the engine's rate limit, if it has one.
     pub(crate) fn note_request_sent(&self, name: &BackEndName) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -116,8 +117,8 @@
         }
     }
 
-    /// How long until one of the barred engines of a pool may be sent something again; `None` while one takes work, or
-    /// when nothing is known.
+    /// Time until one of the excluded engines of a pool may be sent a request again; `None` while
+    /// any engine takes requests, or when no such time is known.
     pub fn next_opening(&self, pool: &PoolName) -> Option<Duration> {
         let now = self.clock().now();
         let state = self.state();
@@ -133,7 +134,7 @@
         Some(openings.min()?.since(now))
     }
 
-    /// How many engines of a pool are barred, and by what, in words; `None` when none is.
+    /// Numbers of excluded engines of a pool by reason, as text; `None` when none is excluded.
     pub(crate) fn barred_engines(&self, pool: &PoolName) -> Option<String> {
         let now = self.clock().now();
         let state = self.state();
@@ -148,7 +149,8 @@
         (!excluded.is_empty()).then(|| excluded.join(", "))
     }
 
-    /// Divides the limits of engines anew, since nodes come and go, and forgets those that must be over.
+    /// Recomputes this node's shares of engines' limits, since nodes join and leave, and drops
+    /// limits that must have ended.
     pub fn refresh_limits(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -169,7 +171,8 @@
             .flatten();
     }
 
-    /// An engine whose entry had gone may have named a limit before.
+    /// Recomputes the share of the limit of an engine that is listed again, if it advertised one
+    /// before its entry was removed.
     pub(super) fn note_listed_again(
         &self,
         state: &mut GatewayState,
@@ -216,8 +219,9 @@
         };
     }
 
-    /// The place of this node among those that may send to an engine. Silent nodes keep theirs until they are forgotten:
-    /// they may only be cut off from this one.
+    /// The position of this node among those that may send requests to an engine. Silent nodes keep
+    /// theirs until they are dropped from the peer table, since they may only be isolated from this
+    /// node.
     fn sender_position(&self, state: &GatewayState, engine: &BackEndName, now: Timestamp) -> Place {
         let own = &self.settings().identity;
         let zone = state.engines.get(engine).map(|engine| &engine.entry.zone);
@@ -249,7 +253,8 @@
         }
     }
 
-    /// What to tell other nodes with a message; with an introduction also what is known for longer.
+    /// The updates for the next message to other nodes; a full update also carries signals known
+    /// for longer.
     pub(super) fn signal_updates(
         &self,
         state: &mut GatewayState,
@@ -268,7 +273,7 @@
         updates_of(state, &names, now)
     }
 
-    /// News that every node of a large deployment needs soon.
+    /// Takes the updates that every node of a large deployment needs soon.
     pub(super) fn take_urgent_signals(
         &self,
         state: &mut GatewayState,
@@ -283,13 +288,13 @@
             TRANSMISSIONS,
         );
         if !state.signal_updates.is_empty() {
-            // What this message does not hold is as urgent.
+            // The updates that did not fit into this message are just as urgent.
             self.request_peer_send();
         }
         updates_of(state, &names, now)
     }
 
-    /// Takes what another node tells.
+    /// Applies updates received from another node.
     pub(super) fn take_signal_updates(
         &self,
         state: &mut GatewayState,
@@ -332,7 +337,7 @@
     bars.filter_map(move |engine| engine.condition.bar(now))
 }
 
-/// Some of the engines that this node has heard something of, others with each message.
+/// The part of the engines with known signals that this full update carries; each carries another.
 fn signalling_engines_in_rotation(state: &mut GatewayState) -> Vec<BackEndName> {
     let has_seen = |engine: &&Engine| engine.condition.report().is_some();
     let signalled = state.engines.iter().filter(has_seen);
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -1,4 +1,4 @@
-//! What engines tell of their caches; see docs/design/decisions.md.
+//! Follows the events of engines' caches; see docs/design/decisions.md.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,15 +14,17 @@
 use crate::peers::{HolderUpdate, NodeState};
 use crate::placement::{CacheChange, PartKey};
 
-/// Most dropped prefixes that wait to be told; beyond that news are left out.
+/// Maximum number of queued evictions; further ones are not reported.
 const MAX_QUEUED_DROPS: usize = 512;
 
 impl Gateway {
-    /// The engines whose caches this node follows for all: one node of an engine's zone does, since
-    /// bytes between zones are dear, or one of all nodes when none serves in that zone.
+    /// The engines whose caches this node follows on behalf of all nodes. One ready node of an
+    /// engine's zone does so, since traffic between zones is expensive, or one of all nodes when
+    /// the zone has none that is ready.
     ///
-    /// Not in a large deployment: whoever begins to follow an engine is told all that it remembers,
-    /// which is much for the small links there, and with many nodes the followers change often.
+    /// None in a large deployment: a node that starts to follow an engine is sent the whole content
+    /// of its cache, which is much for the small links there, and with many nodes the followers
+    /// change often.
     pub fn caches_to_follow(&self) -> Vec<(BackEndName, SocketAddr)> {
         let state = self.state();
         let has_settled = |after| self.uptime() >= after;
@@ -59,15 +61,16 @@
         near.next().is_none() && all.all(|peer| score(&peer.identity.name) <= own_score)
     }
 
-    /// Takes what an engine told of its cache. At first that is all it remembers, which a node that
-    /// was just started knows nothing of; later only parts count that some request has shared.
+    /// Applies changes of an engine's cache. The first batch is its whole content, all of which is
+    /// new to a node that has just started; later batches count only for prefixes that some request
+    /// has shared.
     pub fn take_cache_changes(
         &self,
         engine: &BackEndName,
         changes: &[CacheChange],
         is_first: bool,
     ) {
-        // The last change of a part counts.
+        // Only the last change of a part counts.
         let latest: BTreeMap<PartKey, &CacheChange> =
             changes.iter().map(|change| (change.key, change)).collect();
         let now = self.clock().now();
@@ -84,7 +87,8 @@
                 true if is_worth_announcing && is_first => {
                     self.note_holder(&mut state, key, engine)
                 }
-                // Whoever sent the request that read it tells the others.
+                // The node that sent the request which computed this prefix reports it to the
+                // others.
                 true if is_worth_announcing && state.holders.knows(key) => {
                     state.holders.note(key, engine, now)
                 }
--- a/crates/gateway/src/gateway/cache_knowledge.rs
+++ b/crates/gateway/src/gateway/cache_knowledge.rs
@@ -1,4 +1,4 @@
-//! What is known of cached parts, and of the store that keeps them.
+//! Tracks the holders of cached prefixes, and the state of the KV stores.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,36 @@
 use crate::peers::{HolderUpdate, KvStoreUpdate, NodeState, Peer};
 use crate::placement::{PartKey, Placement, StoreChange, store_holder_name};
 
-/// Most prefixes that wait to be told; beyond that news are left out.
+/// Maximum number of queued prefix updates; further ones are not reported.
 const MAX_QUEUED_HOLDER_UPDATES: usize = 1_024;
-/// A holder that uses a part again is told anew after so long.
+/// A holder that uses a prefix again is reported again after this time.
 const HOLDER_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Prefixes shorter than this are read again sooner than told of.
+/// Prefixes with fewer tokens are cheaper to compute again than to report.
 pub(super) const MIN_ANNOUNCED_TOKENS: u32 = 256;
 
 impl Gateway {
-    /// A request of a pool began: its prompt was read `after` it had come.
+    /// Records the start delay of a request: its prefill was done `after` this time.
     pub fn note_begin(&self, pool: &PoolName, after: Duration) {
         let now = self.clock().now();
         self.state_mut().begin_times.note(pool, after, now);
     }
 
-    /// An engine has read the prompt of a request: others may fetch its parts.
+    /// Records that an engine has done the prefill of a request, so that others may fetch the
+    /// cached parts.
     pub fn note_prompt_read(&self, placement: &Placement) {
         let now = self.clock().now();
         let is_kept = self.is_same_incarnation(placement);
         let mut state = self.state_mut();
         let shared = placement.keys.shared();
-        // An engine that has begun again since keeps nothing of it; the store may.
+        // An engine that has restarted since has lost the prefixes; the store may still have them.
         let kept = placement.keys.0.iter().filter(|_| is_kept);
         for (key, tokens) in kept {
             let is_worth_announcing =
                 *tokens >= MIN_ANNOUNCED_TOKENS && shared.iter().any(|part| part.0 == *key);
             match is_worth_announcing {
                 true => self.note_holder(&mut state, *key, &placement.engine),
-                // Only this node may see it again.
+                // Only later requests at this node may share this prefix.
                 false => state.holders.note_untold(*key, &placement.engine, now),
             }
         }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Where the stores of kept KV cache listen that this node is to ask.
+    /// Addresses of the KV stores that this node checks.
     pub fn kv_stores_to_ask(&self) -> Vec<SocketAddr> {
         let state = self.state();
         let stores = state.table.iter().flat_map(|table| table.kv_stores());
@@ -58,8 +59,8 @@
         own.map(|store| store.address).collect()
     }
 
-    /// One node asks a store for all: of those that serve in its zone the first by name, or of all
-    /// that serve when none stands there.
+    /// Whether this node checks a KV store on behalf of all nodes: the first by name of the ready
+    /// nodes in the store's zone does, or of all ready nodes when the zone has none.
     fn asks_kv_store(&self, state: &GatewayState, store: &KvStoreProfile) -> bool {
         if state.node_state != NodeState::Ready {
             return false;
@@ -86,7 +87,7 @@
         .collect()
     }
 
-    /// A store of kept KV cache answered, or did not.
+    /// Records whether a KV store answered, and informs the other nodes of a change.
     pub fn note_kv_store(&self, update: KvStoreUpdate) {
         let mut state = self.state_mut();
         if self.apply_kv_store_update(&mut state, update) {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Whether the news changed anything.
+    /// Applies the reported state of a KV store; returns whether anything has changed.
     pub(super) fn apply_kv_store_update(
         &self,
         state: &mut GatewayState,
--- a/crates/gateway/src/gateway/caller_ring.rs
+++ b/crates/gateway/src/gateway/caller_ring.rs
@@ -1,4 +1,4 @@
-//! From how far away callers are sent to nodes.
+//! Selects the nodes that callers are sent to, by distance.
 
 use std::net::SocketAddr;
 
@@ -10,29 +10,31 @@
 use crate::peers::Capacity;
 use crate::places::Places;
 
-/// A ring of fewer nodes that serve is too weak: the loss of one would leave none.
+/// Minimum number of ready nodes of a ring: with a single one, its loss would leave none.
 const MIN_READY_NODES: usize = 2;
-/// A ring is too weak once less than this share of what its nodes bear is left: what served all its
-/// callers before would fall on the few that are left.
+/// Minimum share of a ring's capacity that its ready nodes must have; below it the load of all the
+/// ring's callers would fall on the few nodes that are left.
 const MIN_REMAINING_CAPACITY: f64 = 0.5;
-/// A node that gets more than this share of the requests that it bears sends callers to nodes by what
-/// each bears. Below it all are named alike: callers then keep their connections, and every node sees
-/// as much of each tenant and pool as the others, which limits and orders count on.
+/// Share of a node's capacity above which it names nodes in proportion to their capacity. Below it
+/// all nodes are named alike: callers then keep their connections, and every node sees an equal
+/// part of each tenant and pool, which limits and orders assume.
 pub const HIGH_LOAD_SHARE: f64 = 0.5;
-/// Of unlike nodes a caller is named at least so many: with most of a deployment's nodes killed at
-/// once, one of six is alive nearly always.
+/// Minimum number of addresses named to a caller when nodes differ in capacity: even when most
+/// nodes of a deployment are killed at once, one of six is nearly always alive.
 const MIN_DRAWN_NODES: usize = 6;
-/// Of unlike nodes a caller is named one in so many. Callers pick one of them by chance, so naming all
-/// of them would send as much to the smallest as to the largest.
+/// When nodes differ in capacity, a caller is named one in this many. Callers pick one of the named
+/// addresses at random, so naming all of them would send as much to the smallest node as to the
+/// largest.
 const NODES_PER_DRAWN_NODE: usize = 4;
 
-/// From how far away callers are sent to nodes; the nearest ring that is strong enough is used.
+/// A set of nodes around a caller, by distance. The nearest ring with enough ready nodes and
+/// capacity serves the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum CallerRing {
-    /// Nodes of their zone.
+    /// Nodes of the caller's zone.
     #[display("zone")]
     Zone,
-    /// Nodes of their region.
+    /// Nodes of the caller's region.
     #[display("region")]
     Region,
     /// All nodes.
@@ -40,30 +42,30 @@
     All,
 }
 
-/// Where a caller stands, as far as it tells.
+/// Where a caller is located, as it states.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLocation<'a> {
-    /// Its zone.
+    /// The caller's zone.
     pub zone: &'a ZoneName,
-    /// Its region, which helps when the zone is not known.
+    /// The caller's region; used when the zone is not known.
     pub region: Option<&'a RegionName>,
 }
 
 /// A node that callers may be sent to.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerNode<'a> {
-    /// Where callers reach it.
+    /// Address where callers reach the node.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The node's zone.
     pub zone: &'a ZoneName,
-    /// How much it can bear.
+    /// The node's capacity.
     pub capacity: Capacity,
-    /// Whether it serves, as far as known.
+    /// Whether the node serves requests, as far as known.
     pub is_ready: bool,
 }
 
 impl CallerLocation<'_> {
-    /// Whether a node of `zone` belongs to a ring around the caller.
+    /// Whether a node in `zone` belongs to the given ring around the caller.
     fn has_in(&self, ring: CallerRing, zone: &ZoneName, places: &Places) -> bool {
         match (ring, self.region) {
             (CallerRing::Zone, _) => zone == self.zone,
@@ -77,8 +79,9 @@
 }
 
 impl CallerRing {
-    /// The ring that a caller is served from, and those of its nodes that serve. `nodes` are all that
-    /// are known, also those that are silent or leaving: they tell what a ring has lost.
+    /// Selects the ring that serves a caller and returns it with its ready nodes. `nodes` are all
+    /// known nodes, including silent and leaving ones, which show how much capacity a ring has
+    /// lost.
     pub fn of<'a>(
         place: CallerLocation<'_>,
         nodes: &[CallerNode<'a>],
@@ -101,8 +104,9 @@
     }
 }
 
-/// The addresses that one answer names: all; or some, drawn in proportion to what each node can bear, when
-/// the nodes are unlike and the one that answers is pressed, or when there are more than `max`.
+/// The addresses that one answer names: all of them, or a random selection weighted by capacity
+/// when the nodes differ in capacity and the answering node is under high load, or when there are
+/// more than `max`.
 pub fn draw_addresses(
     nodes: &[CallerNode<'_>],
     max: usize,
@@ -122,7 +126,7 @@
     let weight = |node: &CallerNode<'_>| node.capacity.weight();
     match nodes.choose_multiple_weighted(random, named, weight) {
         Ok(drawn) => drawn.map(|node| node.address).collect(),
-        // Weights are positive, so this is never reached; any nodes are better than none.
+        // Unreachable, since weights are positive; any nodes are better than none.
         Err(_) => nodes.iter().take(named).map(|node| node.address).collect(),
     }
 }
--- a/crates/gateway/src/gateway/callers.rs
+++ b/crates/gateway/src/gateway/callers.rs
@@ -13,22 +13,22 @@
 use super::{Gateway, GatewayState};
 use crate::peers::NodeState;
 
-/// A node that hears nobody for so long may be cut off: five heartbeats, so that a few lost
-/// datagrams do not count.
+/// A node that has received nothing from other nodes for this time may be isolated. Five
+/// heartbeats, so that a few lost datagrams do not count.
 const ISOLATION_SILENCE: Duration = Duration::from_millis(1_500);
-/// It is believed to be cut off once its last proof of freshness is older than this share of what is
-/// allowed; until then it could be the only one that is left.
+/// A silent node considers itself isolated once its last confirmation of the configuration is older
+/// than this share of the allowed age; until then it may be the only node left.
 const ISOLATION_AGE_SHARE: f64 = 0.5;
 
 impl Gateway {
-    /// Whether callers should come here: the node serves, and their keys can be trusted.
+    /// Whether callers should use this node: it serves requests and can trust their API keys.
     pub fn is_ready(&self) -> bool {
         let now = self.clock().now();
         let state = self.state();
         state.node_state == NodeState::Ready && !self.must_refuse_keys(&state, now)
     }
 
-    /// Whether the configuration is too long unproven for keys to be trusted.
+    /// Whether the configuration has been unconfirmed for too long to trust API keys.
     fn must_refuse_keys(&self, state: &GatewayState, now: Timestamp) -> bool {
         let needs_proof = state
             .table
@@ -38,8 +38,8 @@
         limit.is_some_and(|limit| !state.freshness().is_within(limit, now))
     }
 
-    /// Whether neither other nodes nor the source reach this node, so that what it believes of
-    /// either is old while others serve on.
+    /// Whether neither other nodes nor the source reach this node, so that its state is outdated
+    /// while other nodes go on serving.
     pub fn is_cut_off(&self) -> bool {
         let now = self.clock().now();
         self.is_cut_off_at(&self.state(), now)
@@ -63,9 +63,9 @@
         self.addresses_for(CallerLocation { zone, region: None }, max)
     }
 
-    /// Addresses that a caller should use: of nodes of its zone, of its region when the zone is too
-    /// weak, of all when the region is. None from a node that is cut off: it takes the others for
-    /// dead, and would send all callers to itself.
+    /// Addresses that a caller should use: nodes of its zone, of its region when the zone has too
+    /// few ready nodes, or of all zones when the region has too few. Empty on an isolated node,
+    /// which considers the others dead and would send all callers to itself.
     pub fn addresses_for(&self, place: CallerLocation<'_>, max: usize) -> Vec<SocketAddr> {
         let now = self.clock().now();
         let is_ready = self.is_ready();
@@ -84,7 +84,7 @@
             .callers_by_ring
             .with_label_values(&[&ring.to_string()])
             .inc();
-        // Only zones that nodes have told of: callers may name any.
+        // Only zones with known nodes are logged, since callers may name any zone.
         if is_served_zone && self.note_ring(place.zone, ring) {
             info!(self.log(), "callers_sent"; "zone" => %place.zone, "ring" => %ring,
                 "serving" => serving, "known" => known, "named" => addresses.len(),
@@ -93,13 +93,14 @@
         addresses
     }
 
-    /// Whether callers bring this node so much that larger ones should get more.
+    /// Whether this node's request rate is so high that nodes with more capacity should get more
+    /// callers.
     fn is_under_high_load(&self, state: &GatewayState, now: Timestamp) -> bool {
         let capacity = self.settings().identity.capacity.weight();
         state.requests.per_second(now) > capacity * HIGH_LOAD_SHARE
     }
 
-    /// This node and all others that were heard lately.
+    /// This node and all others that were heard from recently.
     fn caller_nodes<'a>(
         &'a self,
         state: &'a GatewayState,
@@ -127,7 +128,7 @@
             .collect()
     }
 
-    /// Whether callers of a zone are sent to another ring than before.
+    /// Records the ring for callers of a zone; returns whether it has changed.
     fn note_ring(&self, zone: &ZoneName, ring: CallerRing) -> bool {
         let mut state = self.state_mut();
         if state.caller_rings.get(zone) == Some(&ring) {
--- a/crates/gateway/src/gateway/configuration_handover.rs
+++ b/crates/gateway/src/gateway/configuration_handover.rs
@@ -1,5 +1,4 @@
-//! Handing the configuration on to nodes that the source does not answer; see
-//! docs/design/large.md.
+//! Transfers the configuration to nodes that the source does not answer; see docs/design/large.md.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,18 +12,19 @@
 use crate::source::ItemKind;
 use crate::sync::{Chunk, Fetch, Offer};
 
-/// A piece that has not come after so long is asked for again; nodes answer within milliseconds.
+/// Time after which a chunk that has not arrived is requested again; nodes answer within
+/// milliseconds.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Gateway {
-    /// The next piece to ask for, and of whom: while another node has a newer configuration and
-    /// the source does not answer this one, or late.
+    /// The next chunk to request and the node to ask, while another node has a newer configuration
+    /// and the source does not answer this one, or answers late.
     pub fn next_configuration_fetch(&self) -> Option<(SocketAddr, Fetch)> {
         let now = self.clock().now();
         let mut state = self.state_mut();
         let replica = state.replicas.of(ItemKind::Configuration);
         let is_source_late = replica.is_behind_for(SOURCE_TIMEOUT, now);
-        // Of few nodes one that has just started asks the source first.
+        // In a small deployment a node that has just started asks the source first.
         let is_starting = state.table.is_none() && !state.peers.is_large();
         let is_source_asked = state.is_source_reachable || is_starting;
         if !replica.is_behind() || (is_source_asked && !is_source_late) {
@@ -39,7 +39,7 @@
         Some((offer.address, state.transfer.next()))
     }
 
-    /// The piece that another node asks for.
+    /// Answers another node's request for a chunk.
     pub fn answer_configuration_fetch(&self, fetch: &Fetch) -> Option<Chunk> {
         let state = self.state();
         let table = state.table.as_ref()?;
@@ -47,7 +47,7 @@
         Some(Chunk::of(document, table.version(), fetch))
     }
 
-    /// Takes a piece; tells what to ask for next.
+    /// Applies a chunk; returns the next one to request.
     pub fn take_configuration_chunk(&self, chunk: Chunk) -> Option<(SocketAddr, Fetch)> {
         let version = chunk.version;
         let mut state = self.state_mut();
@@ -74,7 +74,7 @@
         None
     }
 
-    /// The node that this one relies on has a newer configuration.
+    /// Records that the reader which this node follows has a newer configuration.
     pub(super) fn note_reader_ahead(
         &self,
         state: &mut GatewayState,
--- a/crates/gateway/src/gateway/engine_incarnations.rs
+++ b/crates/gateway/src/gateway/engine_incarnations.rs
@@ -1,4 +1,4 @@
-//! Engines that begin again under their names; see docs/design/engine-lives.md.
+//! Tracks restarts of engines, which keep their names; see docs/design/engine-lives.md.
 
 use std::collections::BTreeSet;
 
@@ -15,20 +15,21 @@
 use crate::rollout::EngineReport;
 
 impl Gateway {
-    /// Which life of an engine is known.
+    /// The known incarnation of an engine.
     pub fn incarnation_of(&self, engine: &BackEndName) -> Option<Incarnation> {
         let state = self.state();
         state.engines.get(engine)?.entry.incarnation
     }
 
-    /// Whether an engine is in the life in which it was chosen: what it did before says nothing of it.
+    /// Whether an engine still runs as the incarnation that a request was assigned to. What an
+    /// earlier incarnation did says nothing about a later one.
     pub fn is_same_incarnation(&self, placement: &Placement) -> bool {
         let known = self.incarnation_of(&placement.engine);
         ToldLife::new(known, placement.incarnation) == ToldLife::Same
     }
 
-    /// What an entry says of the life of its engine. One that has begun again holds and knows nothing,
-    /// so all that is known of it is forgotten.
+    /// Compares the incarnation in an entry with the known one. A restarted engine has lost its
+    /// cache and its state, so everything known of it is dropped.
     pub(super) fn take_incarnation(
         &self,
         state: &mut GatewayState,
@@ -57,8 +58,8 @@
         relation
     }
 
-    /// What an engine reports of itself, when that is about the life that is known. A report of a newer
-    /// one is news of it, which may come before the list has them.
+    /// Compares the incarnation in an engine's report with the known one. A report of a newer
+    /// incarnation is applied as an entry, since it may arrive before the engine list has it.
     pub fn take_report_incarnation(&self, engine: &BackEndName, report: &EngineReport) -> ToldLife {
         let relation = ToldLife::new(self.incarnation_of(engine), report.incarnation);
         match relation {
@@ -85,7 +86,7 @@
         let is_unlisted = known.is_unlisted;
         drop(state);
         self.take_engine_entry(entry);
-        // A report is no entry: without one the engine is forgotten in the end.
+        // A report does not replace an entry: an engine without one is removed eventually.
         let mut state = self.state_mut();
         if let Some(engine) = state.engines.get_mut(engine) {
             engine.is_unlisted = is_unlisted;
@@ -95,7 +96,7 @@
 }
 
 impl GatewayState {
-    /// Forgets what is known of the life of an engine that is over.
+    /// Drops what is known of an incarnation that has ended.
     fn forget_incarnation(&mut self, name: &BackEndName) {
         self.engines.remove(name);
         self.holders.forget_engine(name);
@@ -109,10 +110,10 @@
         self.load_updates.retain(|update| update.engine != *name);
     }
 
-    /// Whether news of an engine are about another life than the one that is known here.
+    /// Whether an update about an engine concerns another incarnation than the known one.
     ///
-    /// Those of a newer one are passed over as well: the list tells of it soon, and all that was known
-    /// of the engine until then is forgotten with it.
+    /// Updates about a newer incarnation are ignored as well: the engine list will report it soon,
+    /// and all that was known of the engine until then is dropped at that point.
     pub(super) fn is_of_other_incarnation(
         &self,
         engine: &BackEndName,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Takes news of other lives out of a message.
+    /// Removes updates about other incarnations from a message.
     pub(super) fn drop_other_incarnations(&self, message: &mut PeerMessage, now: Timestamp) {
         let lives = std::mem::take(&mut message.lives);
         let is_of_this = |engine: &BackEndName| !self.is_of_other_incarnation(engine, &lives, now);
@@ -140,7 +141,7 @@
         message.weights.retain(|update| is_of_this(&update.engine));
     }
 
-    /// The lives that news are to name.
+    /// The incarnations to include with updates, for engines that restarted recently.
     pub(super) fn incarnations_to_send(
         &self,
         holders: &[&[HolderUpdate]],
@@ -148,7 +149,7 @@
         weights: &[WeightsUpdate],
         now: Timestamp,
     ) -> Vec<EngineIncarnationUpdate> {
-        // Mostly none has, and messages go out many times a second.
+        // Usually no engine has restarted, and messages are sent many times a second.
         if !self.lives.have_begun(now) {
             return Vec::new();
         }
--- a/crates/gateway/src/gateway/engine_weights.rs
+++ b/crates/gateway/src/gateway/engine_weights.rs
@@ -1,4 +1,4 @@
-//! News of the weights of engines.
+//! Tracks the weights that engines have loaded.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::peers::WeightsUpdate;
 
 impl Gateway {
-    /// Weights of an engine became known, by its own word.
+    /// Records the weights that an engine reports in a response.
     pub fn note_weights(&self, engine: &BackEndName, model: &str, version: u64) {
         let mut state = self.state_mut();
         let Some(known) = state.engines.get_mut(engine) else {
@@ -31,8 +31,8 @@
         self.send_requested.notify_one();
     }
 
-    /// An engine that this node had ordered to load has the weights; every node is told, so that
-    /// work goes there again.
+    /// Records that an engine has loaded the weights that this node ordered. Every node is
+    /// informed, so that the engine gets requests again.
     pub fn note_loaded(&self, engine: &BackEndName, model: &str, version: u64, after: Duration) {
         let mut state = self.state_mut();
         if let Some(known) = state.engines.get_mut(engine) {
@@ -49,7 +49,7 @@
         self.send_load_update(&mut state, update);
     }
 
-    /// This node is about to order an engine to load weights.
+    /// Records that this node is about to order an engine to load weights.
     pub fn note_loading(
         &self,
         engine: &BackEndName,
--- a/crates/gateway/src/gateway/gateway_settings.rs
+++ b/crates/gateway/src/gateway/gateway_settings.rs
@@ -13,59 +13,63 @@
 use crate::rollout::RolloutSettings;
 use crate::upstream::ConnectSettings;
 
-/// A proof that the configuration is current is asked for at two fifths of the age that is allowed,
-/// at the latest. With this many bounds as the allowed age that leaves four tenths of the bound to ask
-/// and to tell the others, as it does for other items.
+/// Ratio of the maximum age of the configuration's confirmation to the propagation limit. A new
+/// confirmation is requested at two fifths of the maximum age at the latest. With 1.4 this leaves
+/// four tenths of the propagation limit to request it and to report it to the other nodes, as for
+/// other items.
 const CONFIRMATION_AGE_FACTOR: f64 = 1.4;
 
 /// Settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
-    /// Who it is.
+    /// Identity of this node.
     pub identity: NodeIdentity,
     /// Which zone lies in which region.
     pub places: Places,
-    /// Where other nodes may be.
+    /// Addresses where other nodes may be found.
     pub seeds: Vec<SocketAddr>,
-    /// Requests with a key are refused when the configuration was not proven current for so long;
-    /// `None` accepts keys of any age.
+    /// Requests with an API key are refused once the configuration has not been confirmed current
+    /// for this time; `None` accepts keys at any age.
     pub max_unconfirmed_age: Option<Duration>,
-    /// Older weights may be used for so long after newer ones were named.
+    /// How long older weights may be used after newer ones were published.
     pub weights_grace: Duration,
-    /// Of the time that older weights may be used in all, so much was kept for the news to arrive.
+    /// The part of the total time allowed for older weights that is reserved for the publication to
+    /// reach all nodes.
     pub weights_propagation_time: Duration,
-    /// Weights that were named before this process started are taken to be at least so old, until
-    /// another node tells.
+    /// Minimum age assumed for weights that were published before this process started, until
+    /// another node reports when they were.
     pub assumed_weights_age: Duration,
-    /// An engine whose entry went while the source was in trouble may be used for so long.
+    /// How long an engine may be used after its entry was removed during a disruption of the
+    /// source.
     pub unlisted_grace: Duration,
-    /// Entries of engines that live lapse only when the source stands still for so long.
+    /// Time after which an engine's entry expires when it is not renewed; entries of running
+    /// engines expire only when the source is unavailable for this long.
     pub entry_ttl: Duration,
-    /// Changes of what the source holds must be in force within this time.
+    /// Changes of the source's items must be in force within this time.
     pub propagation_limit: Duration,
-    /// How exactly limits of tenants are held.
+    /// How precisely limits of tenants are enforced.
     pub limit_tolerance: Tolerance,
     /// The retry budget.
     pub retry: RetrySettings,
     /// Connections to engines.
     pub connect: ConnectSettings,
-    /// Prices of placement.
+    /// Cost weights of placement.
     pub prices: PlacementPrices,
     /// Rollouts of weights.
     pub rollout: RolloutSettings,
-    /// A node follows the caches of engines once it has run for so long and has heard of the others:
-    /// before, each would follow them all. `None` follows none.
+    /// Uptime after which a node follows the caches of engines, having found the other nodes by
+    /// then; earlier, each node would follow all of them. `None` follows none.
     pub cache_follow_delay: Option<Duration>,
-    /// Prefixes whose holders are remembered.
+    /// Maximum number of prefixes whose holders are stored.
     pub remembered_prefixes: usize,
-    /// How releases of engine software are bounded; `None` where operators order none, and the source is
+    /// Bounds on releases of engine software; `None` where operators order none, and the source is
     /// then not asked for them.
     pub releases: Option<release::Settings>,
 }
 
 impl GatewaySettings {
-    /// How old the proof that the configuration is current may become: keys depend on it, and a watch
-    /// whose connection has fallen silent tells of no change.
+    /// Maximum age of the confirmation that the configuration is current. API keys depend on it,
+    /// and a watch whose connection has fallen silent reports no change.
     pub fn max_configuration_age(&self) -> Duration {
         let for_changes = self.propagation_limit.mul_f64(CONFIRMATION_AGE_FACTOR);
         let for_keys = self.max_unconfirmed_age.unwrap_or(Duration::MAX);
--- a/crates/gateway/src/gateway/gateway_state.rs
+++ b/crates/gateway/src/gateway/gateway_state.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes.
+//! The mutable state of a gateway.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -28,156 +28,164 @@
 use crate::source::{ChangeLog, ItemKind, Replicas, Steadiness};
 use crate::sync::{Exchange, ListTransfer, Transfer};
 
-/// Requests are averaged over this time: two answers of the directory.
+/// Window over which the request rate is averaged: twice the interval at which the directory
+/// answers callers.
 const REQUEST_RATE_WINDOW: Duration = Duration::from_secs(4);
 
-/// What a gateway believes; changed between awaits only.
+/// The mutable state of a gateway. It changes only between await points.
 #[derive(Debug)]
 pub struct GatewayState {
-    /// Whether it serves.
+    /// Lifecycle state of this node.
     pub node_state: NodeState,
-    /// The configuration, once one is known.
+    /// The current configuration; `None` until one is known.
     pub table: Option<Rc<RoutingTable>>,
-    /// How far the copies of what the source holds are.
+    /// Progress of the replicas of the source's items.
     pub replicas: Replicas,
-    /// Recent changes of the list of engines, for other nodes.
+    /// Recent changes of the engine list, from which questions of other nodes are answered.
     pub engine_log: ChangeLog,
-    /// Revision after which this node saw all weights come that were named.
+    /// Revision from which on this node has seen every published version of weights.
     pub weights_seen_after: Option<u64>,
-    /// Questions to and of other nodes about what the source holds.
+    /// Questions about the source's items, sent to and received from other nodes.
     pub sync: Exchange,
-    /// A configuration that another node hands on.
+    /// Transfer of a configuration from another node.
     pub transfer: Transfer,
-    /// A list of engines that another node hands on.
+    /// Transfer of an engine list from another node.
     pub list_transfer: ListTransfer,
-    /// Whether the last call to the source was answered.
+    /// Whether the last request to the source was answered.
     pub is_source_reachable: bool,
-    /// When the source last answered this node, or another one as far as that one told.
+    /// When the source last answered this node, or another node according to its messages.
     pub source_answered_at: Option<Timestamp>,
-    /// Since when the source has answered this node or others without a break.
+    /// Since when the source has answered this node or others without interruption.
     pub steadiness: Steadiness,
-    /// Another node that knows what this one lacks.
+    /// Another node whose replica is newer than this node's.
     pub peer_ahead: Option<MemberAddress>,
-    /// When the store of leases last did not answer, until it does. Other calls to the source may go
-    /// on for a while without a fault: watches wait long, and proofs come from other nodes.
+    /// When a request to the lease store last failed; `None` once one succeeds. Other requests to
+    /// the source may show no error for a while: watches stay open for long, and other nodes can
+    /// confirm that the replicas are current.
     pub lease_store_failed_at: Option<Timestamp>,
-    /// Whether the list of engines has been read.
+    /// Whether the engine list has been read.
     pub has_engine_list: bool,
-    /// Whether the list of named weights has been read: what comes later is new.
+    /// Whether the list of published weights has been read; later versions are new ones.
     pub has_weights_list: bool,
-    /// When a call for the list of engines last failed, or was answered again after that.
+    /// When a request for the engine list last failed, or first succeeded after failures.
     pub engine_list_disrupted_at: Option<Timestamp>,
-    /// Whether the last call for the list of engines failed.
+    /// Whether the last request for the engine list failed.
     pub is_engine_list_failing: bool,
-    /// All engines.
+    /// All known engines.
     pub engines: EngineTable,
-    /// Whether entries of engines went during trouble of the source, and may come back.
+    /// Whether engines are kept whose entries were removed during a disruption of the source and
+    /// may return.
     pub has_unlisted_engines: bool,
-    /// Whether engines have older weights than named.
+    /// Cached result of whether any engine has older weights than published.
     pub outdated_engines: OutdatedEngines,
-    /// Which engines have begun again lately.
+    /// Incarnations of engines that restarted or were removed recently.
     pub lives: KnownLives,
-    /// Entries of the list of engines that can't be read, for a node that the list is handed to.
+    /// Engines whose entries in the engine list can't be parsed; sent along when another node
+    /// fetches the list.
     pub unusable_entries: BTreeSet<BackEndName>,
-    /// How long requests take to begin.
+    /// Start delays of requests, by pool.
     pub begin_times: BeginTimes,
-    /// How long answers take.
+    /// Durations of the phases of responses.
     pub part_times: PartTimes,
-    /// What is read for requests that mostly read.
+    /// Prompt tokens that prefill-heavy requests bring, by pool.
     pub reading_demand: ReadingDemand,
-    /// Which engines are kept for them.
+    /// Engines reserved for prefill-heavy requests, by pool.
     pub divisions: HashMap<PoolName, Division>,
-    /// Who holds which prefix.
+    /// Which engines and stores hold which prefixes.
     pub holders: HolderTable,
-    /// What is believed of the stores of kept KV cache.
+    /// Known state of the KV stores.
     pub kv_stores: KvStores,
-    /// Which weights were named.
+    /// Published versions of weights and their deadlines.
     pub deadlines: WeightsDeadlines,
-    /// Requests that this node has sent to replaced weights since they were last counted up.
+    /// Requests that this node has sent to engines with replaced weights since the count was last
+    /// taken.
     pub stale_weight_starts: HashMap<PoolName, u32>,
-    /// What tenants with limits use.
+    /// Usage of tenants with limits.
     pub quotas: Quotas,
     /// Releases of engine software.
     pub releases: release::Table,
-    /// Requests under which engines ended.
+    /// Crashes of engines by the request that they ran.
     pub poison: poison::Register,
-    /// Those of them to tell others of, and how often.
+    /// Requests with new crashes or successes to report to other nodes, and how many transmissions
+    /// remain.
     pub poison_news: BTreeMap<poison::Digest, u32>,
-    /// What is known of the records of those that are held back.
+    /// State of the stored records of blocked requests.
     pub poison_records: Records,
-    /// Counts introductions: those that are held back are told by turns.
+    /// Counts full updates: each carries another part of the blocked requests.
     pub poison_rotation: usize,
-    /// Engines that have named a limit.
+    /// Engines that advertise a rate limit.
     pub limited_engines: BTreeSet<BackEndName>,
-    /// The last of them whose share was computed anew, when others are still to come.
+    /// The last engine whose share of a limit was recomputed, while others remain in this pass.
     pub last_refreshed_limit: Option<BackEndName>,
-    /// Engines that have said something new, and how often others are to be told.
+    /// Engines with new signals to report to other nodes, and how many transmissions remain.
     pub signal_updates: BTreeMap<BackEndName, u32>,
-    /// Counts introductions: what engines have said is told by turns.
+    /// Counts full updates: each carries another part of the engines' signals.
     pub signal_rotation: usize,
-    /// Retry budgets.
+    /// Retry budgets, by pool.
     pub retries: HashMap<PoolName, RetryWindow>,
     /// Other nodes.
     pub peers: PeerTable,
-    /// Whether this node holds the lease of orders.
+    /// Whether this node holds the order lease and so gives orders to engines.
     pub gives_orders: bool,
-    /// Fencing number of that lease, while this node holds it.
+    /// Fencing number of the order lease, while this node holds it.
     pub order_fence: Option<u64>,
-    /// When that lease runs out.
+    /// When the order lease held by this node expires.
     pub order_lease_until: Option<Timestamp>,
-    /// Whether this node knows of an order of a release that has not come to its end.
+    /// Whether this node knows of a release order that is not finished.
     pub has_release_work: bool,
-    /// Whether a node has come that was not told whom this one knows.
+    /// Whether a node has joined that has not yet received a full update from this one.
     pub owes_full_update: bool,
-    /// Nodes that do not know yet how many there are; the next message also goes to them.
+    /// Nodes that do not know the size of the deployment yet; the next full update also goes to
+    /// them.
     pub new_peers: Vec<SocketAddr>,
-    /// Number of the last message to other nodes.
+    /// Sequence number of the last message to other nodes.
     pub sequence: u64,
-    /// When the last messages were sent.
+    /// Send times of recent messages.
     pub sent_times: SentTimes,
-    /// The lease of orders as this node saw it last, and when it first did.
+    /// The order lease as this node last read it, and when it first read this version.
     pub observed_lease: Option<(LeaseUpdate, Timestamp)>,
-    /// Version of the lease that other nodes were told last.
+    /// Version of the order lease that was last sent to other nodes.
     pub announced_lease: Option<StoreVersion>,
-    /// Whether this node holds the lease of orders or is to have it.
+    /// Whether this node holds the order lease or is the one that should acquire it.
     pub is_order_candidate: bool,
-    /// Whether the next message goes to every node, however many there are.
+    /// Whether the next message goes to every node, regardless of their number.
     pub broadcast_next: bool,
-    /// The lease of orders as another node told last; the age counts from now on.
+    /// The order lease as last received from another node; its age counts from the time of receipt.
     pub received_lease: Option<LeaseUpdate>,
-    /// Prefixes to tell others of.
+    /// Prefix holders to report to other nodes.
     pub holder_updates: Vec<HolderUpdate>,
-    /// Prefixes that engines have dropped, to tell others of.
+    /// Prefixes that engines have evicted, to report to other nodes.
     pub drop_updates: Vec<HolderUpdate>,
-    /// Prefixes to tell other zones of.
+    /// Prefix holders to report to other zones.
     pub zone_updates: Vec<HolderUpdate>,
-    /// Counts news for other zones: nodes of other regions take turns to pass them on.
+    /// Counts updates for other zones: nodes of other regions relay them in rotation.
     pub relay_rotation: usize,
-    /// What other zones' nodes do.
+    /// Load and usage reported by other zones.
     pub zone_traffic: ZoneTraffic,
-    /// Whether other nodes have told of work since it was summed up.
+    /// Whether loads reported by other nodes have changed since they were last summed up.
     pub foreign_loads_changed: bool,
-    /// Loads to tell every node of, in a large deployment.
+    /// Weight loads to report to every node of a large deployment.
     pub load_updates: Vec<WeightsUpdate>,
-    /// Weights to tell others of.
+    /// Weights of engines to report to other nodes.
     pub weights_updates: Vec<WeightsUpdate>,
-    /// From how far away callers of each zone were last sent to nodes.
+    /// Ring of nodes that callers of each zone were last sent to.
     pub caller_rings: BTreeMap<ZoneName, CallerRing>,
-    /// Requests that came, a second.
+    /// Rate of incoming requests.
     pub requests: Meter,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub active_requests: usize,
-    /// How long the machine has been suspended, as far as that was logged.
+    /// Total time that the machine has been suspended, as far as it has been logged.
     pub logged_suspension: Duration,
 }
 
 impl GatewayState {
-    /// When the configuration was last certainly current.
+    /// When the configuration was last confirmed current.
     pub fn freshness(&self) -> Freshness {
         self.replicas.of(ItemKind::Configuration).freshness
     }
 
-    /// Another node knows what this one lacks: it is asked, unless it was silent lately.
+    /// Records that another node has newer items than this one, so that it is asked next; ignored
+    /// while this node avoids it for having been silent or stale.
     pub fn note_peer_ahead(&mut self, node: &NodeIdentity, now: Timestamp) {
         if self.sync.may_ask(&node.name, now) {
             self.peer_ahead = Some(MemberAddress {
@@ -187,15 +195,16 @@
         }
     }
 
-    /// Whether entries of engines that have gone may have lapsed while the source stood still, and come
-    /// back within `grace` of its return. Failed calls of this node alone don't say so.
+    /// Whether removed entries of engines may merely have expired while the source was unavailable,
+    /// so that they return within `grace` of its recovery. Failed requests of this node alone are
+    /// not enough: the source must also have stopped answering other nodes.
     pub fn may_entries_return(&self, grace: Duration, now: Timestamp) -> bool {
         let disrupted_at = self.engine_list_disrupted_at;
         let is_disrupted = disrupted_at.is_some_and(|at| now.since(at) < grace);
         is_disrupted && !self.steadiness.holds(grace, now)
     }
 
-    /// The state at the start of a process, which is `now`.
+    /// Creates the state of a process that starts at `now`.
     pub fn new(settings: &GatewaySettings, now: Timestamp) -> Self {
         let mut peers = PeerTable::new(settings.places.clone());
         for seed in &settings.seeds {
--- a/crates/gateway/src/gateway/list_handover.rs
+++ b/crates/gateway/src/gateway/list_handover.rs
@@ -1,4 +1,4 @@
-//! Handing the list of engines on between nodes; see docs/design/fleet.md.
+//! Transfers the engine list between nodes; see docs/design/fleet.md.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
 use crate::source::ItemKind;
 use crate::sync::{EntryGroup, ListFetch, ListPiece};
 
-/// Entries in a piece: with some 50 bytes each it takes half of a datagram, and a list of ten thousand comes in twenty
-/// pieces.
+/// Maximum number of entries in a piece. At some 50 bytes each they take half of a datagram, and a
+/// list of ten thousand is sent in twenty pieces.
 const MAX_ENTRIES_PER_PIECE: usize = 512;
 
 impl Gateway {
-    /// The next piece of the list to ask for, and of whom, while the source does not tell this node.
+    /// The next piece to request and the node to ask, while the source does not answer this node.
     pub fn next_list_fetch(&self, random: &mut impl Rng) -> Option<(SocketAddr, ListFetch)> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -35,7 +35,7 @@
         state.list_transfer.next(now, draw)
     }
 
-    /// The piece that another node asks for; nothing before this node has the list.
+    /// Answers another node's request for a piece; `None` until this node has the list.
     pub fn answer_list_fetch(&self, fetch: &ListFetch) -> Option<ListPiece> {
         let state = self.state();
         if !state.has_engine_list {
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Takes a piece; tells what to ask for next.
+    /// Applies a piece; returns the next one to request.
     pub fn take_list_piece(
         &self,
         from: SocketAddr,
@@ -85,7 +85,8 @@
         None
     }
 
-    /// Whether others may hand the list on to this node, so that it need not read all pages of the source.
+    /// Whether other nodes may transfer the list to this node, so that it need not read all pages
+    /// from the source.
     pub fn may_receive_list_from_peers(&self) -> bool {
         let now = self.clock().now();
         let state = self.state();
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway, shared by all its tasks.
+//! State of a gateway, shared by all its tasks.
 
 mod backpressure;
 mod cache_events;
--- a/crates/gateway/src/gateway/order_candidacy.rs
+++ b/crates/gateway/src/gateway/order_candidacy.rs
@@ -1,4 +1,4 @@
-//! Whether this node should give orders.
+//! Determines whether this node should give orders.
 
 use std::time::Duration;
 
@@ -7,9 +7,11 @@
 use super::{Gateway, GatewayState};
 use crate::peers::{NodeState, Peer};
 
-/// Starts that lie closer than this count as one: a whole deployment starting.
+/// Nodes whose starts lie closer together than this count as started at the same time, as when a
+/// whole deployment starts.
 const SIMULTANEOUS_START_WINDOW: Duration = Duration::from_secs(1);
-/// A node that asks for the lease hears of trouble at least so often.
+/// A failure of the lease store counts for this long: a node that requests the lease sees failures
+/// at least this often.
 const LEASE_STORE_FAILURE_TTL: Duration = Duration::from_secs(3);
 
 impl Gateway {
@@ -17,7 +19,7 @@
         self.clock().now().since(self.clock().start_time())
     }
 
-    /// A call to the store of leases was answered, or was not.
+    /// Records whether a request to the lease store was answered.
     pub fn note_lease_store_answer(&self, is_answered: bool) {
         let now = self.clock().now();
         let failed_at = (!is_answered).then_some(now);
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Whether other nodes may leave the orders to this one.
+    /// Whether this node reaches the lease store, so that other nodes may leave the orders to it.
     pub(super) fn reaches_lease_store(&self, state: &GatewayState) -> bool {
         let now = self.clock().now();
         let failed_at = state.lease_store_failed_at;
@@ -40,9 +42,9 @@
         state.is_source_reachable && !has_failed
     }
 
-    /// Whether this node should hold the lease of orders: no other node holds it, and of those that
-    /// reach the store it is the one that started last: in a rolling restart it stays longest. Nodes
-    /// that started at about the same time go by name.
+    /// Whether this node should hold the order lease: no other node holds it, and of the nodes that
+    /// reach the store this one started last, so that it stays longest in a rolling restart. Among
+    /// nodes that started at about the same time, names decide.
     pub fn should_give_orders(&self) -> bool {
         let now = self.clock().now();
         let state = self.state();
--- a/crates/gateway/src/gateway/outdated_engines.rs
+++ b/crates/gateway/src/gateway/outdated_engines.rs
@@ -1,22 +1,23 @@
-//! Whether engines have older weights than named.
+//! Whether engines have older weights than published.
 
 use crate::engines::EngineTable;
 use crate::rollout::WeightsDeadlines;
 
-/// Whether some engine that stays has older weights than named, as it was last looked up.
+/// Whether any engine that stays has older weights than published, cached from the last lookup.
 ///
-/// That is asked many times a second, so all engines are looked at only when one of them, or what is named, has changed.
+/// This is queried many times a second, so the engines are scanned only when one of them or the
+/// published versions have changed.
 #[derive(Debug, Default)]
 pub struct OutdatedEngines {
-    /// The engines that were looked at.
+    /// Generation of the engine table at the last scan.
     generation: u64,
-    /// What was named: models and versions.
+    /// Published models and versions at the last scan.
     named: Vec<(String, u64)>,
     is_any: bool,
 }
 
 impl OutdatedEngines {
-    /// Whether there is one now.
+    /// Whether any engine that stays has older weights than published.
     pub fn is_any(&mut self, engines: &EngineTable, deadlines: &WeightsDeadlines) -> bool {
         let named = deadlines.newest();
         let named: Vec<_> = named
--- a/crates/gateway/src/gateway/peer_messages.rs
+++ b/crates/gateway/src/gateway/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What this node tells others, and takes from them.
+//! Sends messages to other nodes and applies received ones.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,47 +18,48 @@
 use crate::source::ItemKind;
 use crate::sync::Offer;
 
-/// Most prefixes that one message tells of; more wait for the next.
+/// Maximum number of prefixes that one message reports; more wait for the next.
 const MAX_HOLDER_UPDATES: usize = 64;
-/// Nodes that do not know the size of the deployment, and addresses where nobody answered yet, that
-/// one introduction goes to.
+/// Maximum number of extra receivers of a full update: nodes that do not know the size of the
+/// deployment, and addresses from which no answer has come yet.
 const MAX_EXTRA_RECEIVERS: usize = 4;
 
-/// Named weights are told with an introduction for so long.
+/// How long full updates carry a published version of weights.
 const PUBLISHED_WEIGHTS_SEND_TIME: Duration = Duration::from_secs(60);
 
 impl Gateway {
-    /// Resolves when news must not wait for the next tick.
+    /// Resolves when a message should be sent before the next tick.
     pub async fn peer_send_requested(&self) {
         self.send_requested.notified().await;
     }
 
-    /// Lets the news go out at once.
+    /// Requests that a message is sent at once.
     pub fn request_peer_send(&self) {
         self.send_requested.notify_one();
     }
 
-    /// Whether there is anything new to tell before the next heartbeat. In a wide zone its reader gathers what
-    /// nodes tell, and passes it on with its own heartbeat.
+    /// Whether there are updates to send before the next heartbeat. In a wide zone its reader
+    /// gathers the updates of the nodes and forwards them with its own heartbeat.
     pub fn has_peer_updates(&self) -> bool {
         let state = self.state();
         if state.peers.is_wide() {
             return !state.weights_updates.is_empty();
         }
-        // What was dropped goes with the next message: a message of its own costs more than it saves.
+        // Evictions go with the next message: a message of their own costs more than it saves.
         let has_urgent = !state.poison_news.is_empty() || !state.signal_updates.is_empty();
         let sends_here = has_urgent && !state.peers.is_large();
         !state.holder_updates.is_empty() || !state.weights_updates.is_empty() || sends_here
     }
 
-    /// Whether a node has come that knows nothing of this one yet, or nobody may know of it.
+    /// Whether a full update is due: a node has joined that knows nothing of this one, or perhaps
+    /// no node knows of it yet.
     pub fn owes_full_update(&self) -> bool {
         let state = self.state();
         let is_alone = state.peers.heard_count() == 0 && self.uptime() < PEER_DISCOVERY_TIME;
         state.owes_full_update || is_alone
     }
 
-    /// The next message to other nodes; takes the news out.
+    /// Builds the next message to other nodes and removes the updates it carries from the queues.
     pub fn peer_message(&self, is_full_update: bool) -> PeerMessage {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -126,14 +127,14 @@
         })
     }
 
-    /// What another node says of its configuration.
+    /// Applies what another node reports of its configuration.
     fn take_configuration_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
         let Some(proof) = message.proof else {
             return;
         };
         let now = self.clock().now();
         let age = Duration::from_millis(proof.age_ms);
-        // The datagram itself may be late; that only makes this node ask the source too early.
+        // The datagram itself may be late; this only makes the node ask the source too early.
         let answered_at = now.before(age);
         self.note_better_informed_peer(state, &message.from, answered_at, now);
         state.source_answered_at = state.source_answered_at.max(Some(answered_at));
@@ -153,8 +154,8 @@
         }
     }
 
-    /// When this node sent the newest of its messages that the other one had: a proof counts from
-    /// then, since the datagram that brings it may be of any age.
+    /// When this node sent the newest of its messages that the other node had received. A
+    /// confirmation counts from then, since the datagram that carries it may be of any age.
     pub(super) fn echoed_message_sent_at(
         &self,
         state: &GatewayState,
@@ -182,7 +183,7 @@
         .collect()
     }
 
-    /// Takes weights that another node saw to be named.
+    /// Applies versions of weights whose publication another node has seen.
     pub(super) fn take_named_weights_updates(&self, named: &[NamedWeightsUpdate]) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Where to send a message.
+    /// The addresses to send a message to.
     pub fn peer_receivers(&self, is_full_update: bool, random: &mut impl Rng) -> Vec<SocketAddr> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -220,9 +221,9 @@
         receivers
     }
 
-    /// What each of the receivers of a message is sent: all of it, or in a large deployment only what
-    /// nodes of other zones do not hear through the news of this one.
-    pub fn addressed(
+    /// Pairs a message with its receivers. In a large deployment nodes of other zones get only the
+    /// part that does not reach them through this zone's updates.
+    pub fn messages_for(
         &self,
         message: PeerMessage,
         receivers: Vec<SocketAddr>,
@@ -234,22 +235,22 @@
         let (far, near): (Vec<_>, Vec<_>) = receivers
             .into_iter()
             .partition(|address| state.peers.is_far(*address));
-        let mut addressed = Vec::new();
+        let mut messages = Vec::new();
         if !far.is_empty() {
-            addressed.push((message.clone().without_work(), far));
+            messages.push((message.clone().without_work(), far));
         }
-        addressed.push((message, near));
-        addressed
+        messages.push((message, near));
+        messages
     }
 
-    /// Counts the other nodes that are alive.
+    /// Updates the metric of live peers.
     pub fn count_peers(&self) {
         let now = self.clock().now();
         let alive = self.state().peers.alive(now).count();
         self.metrics().peers.set(alive as i64);
     }
 
-    /// Logs that the machine has been suspended: what this node believed is older by that time.
+    /// Logs that the machine has been suspended, which makes this node's state older by that time.
     pub fn log_suspension(&self) {
         let suspended = self.clock().suspended();
         let mut state = self.state_mut();
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Takes a message of another node.
+    /// Applies a message from another node.
     pub fn receive_peer_message(&self, mut message: PeerMessage) {
         if message.from.name == self.settings().identity.name {
             return;
@@ -269,14 +270,15 @@
         let mut state = self.state_mut();
         state.drop_other_incarnations(&mut message, now);
         let was_alive = state.peers.is_alive(&message.from.name, now);
-        // Where everybody tells everybody of each node that comes, a start of all nodes costs messages by the
-        // square of their number. A settled node tells only those that know of few, below.
+        // If every node sent every other one a full update for each node that joins, a start of all
+        // nodes would cost messages by the square of their number. A node that has discovered its
+        // peers sends one only to nodes that know few others, below.
         if !state.peers.knows(&message.from) && !state.peers.is_settled() {
             state.owes_full_update = true;
             self.send_requested.notify_one();
         }
         if state.peers.should_be_told_of_size(&message) {
-            // It acts as one of few nodes until then, so this must not wait.
+            // Until then the node acts as one of few, so this must not wait.
             let new_peer = message.from.peer_address;
             if !state.new_peers.contains(&new_peer) {
                 state.new_peers.push(new_peer);
@@ -342,7 +344,7 @@
     Some(age.as_millis() as u64)
 }
 
-/// The lease, when it has changed since it was told last or a node may not know it.
+/// The order lease, if it has changed since it was last sent or some node may not know it.
 fn lease_update(
     state: &mut GatewayState,
     is_full_update: bool,
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -1,4 +1,4 @@
-//! Holding back requests that end the engines that run them; see docs/design/poison.md.
+//! Blocks requests that crash the engines that run them; see docs/design/poison.md.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
 use crate::poison::{PoisonNews, Run};
 use crate::serve::AcceptedRequest;
 
-/// Most requests that one message tells of; more wait for the next.
+/// Maximum number of requests that one message reports; more wait for the next.
 const MAX_UPDATES_PER_MESSAGE: usize = 32;
-/// Most requests held back that an introduction tells of: others with the next.
+/// Maximum number of blocked requests in a full update; the next one carries others.
 const MAX_PER_FULL_UPDATE: usize = 16;
-/// News are told so often where they go to each node directly: a datagram may be lost. Elsewhere they are passed
-/// on by two nodes of each zone.
+/// Transmissions of an update where messages go to each node directly, since a datagram may be
+/// lost. In larger deployments two nodes of each zone forward updates instead.
 const TRANSMISSIONS: u32 = 3;
-/// The entry of an engine that has ended goes after three heartbeats, so one that is listed for three lapses of
-/// two has gone on.
+/// The entry of a crashed engine expires after three heartbeats. An engine that is still listed
+/// after three entry TTLs of two heartbeats each has therefore not crashed.
 const TTLS_UNTIL_ENTRY_REMOVED: u32 = 3;
 
 impl Gateway {
@@ -35,14 +35,15 @@
         }
     }
 
-    /// The same for all requests that this stands for.
+    /// Whether requests with this digest may be sent to an engine now.
     pub fn poison_verdict_of(&self, digest: Digest) -> Verdict {
         let now = self.clock().now();
         self.withdraw_refuted_crashes(digest, now);
         self.state().poison.verdict(digest, now)
     }
 
-    /// A request that is held back is sent once, to see whether it still ends its engine.
+    /// Records that a blocked request is now sent once, to check whether it still crashes its
+    /// engine.
     pub(crate) async fn begin_trial(&self, request: &AcceptedRequest) {
         let digest = request.digest();
         let now = self.clock().now();
@@ -51,13 +52,14 @@
             info!(self.log(), "poison_tried"; "request" => &request.caller.id,
                 "digest" => %digest, "trials" => history.trials);
         }
-        // At once: others are not to begin one too.
+        // Announced at once, so that other nodes do not start a trial as well.
         self.announce_poison(digest);
         self.schedule_poison_write(digest);
         self.wait_for_poison_write(digest).await;
     }
 
-    /// The connection of a run broke off. Its engine has most likely ended, unless it leaves, when its end is planned.
+    /// Handles a run whose connection broke. Its engine has most likely crashed, unless it is
+    /// leaving, when it stops as planned.
     pub(crate) fn note_broken_run(&self, run: &Run) {
         let Run {
             digest,
@@ -78,7 +80,7 @@
         };
         let ended_at = engine.ended_at().filter(|at| now.since(*at) < lapse);
         if ended_at.is_some_and(|at| at < began) {
-            // It was sent to an engine that had ended before.
+            // The request was sent to an engine that had already crashed.
             return;
         }
         engine.note_ended(began, now);
@@ -89,7 +91,8 @@
             ended: now,
             is_unproven: false,
         };
-        // What had ended before this node started is listed for as long, and the node could not see it end.
+        // An engine that crashed before this node started remains listed for this time, and the
+        // node could not observe the crash.
         let may_have_ended_before = self.uptime() < lapse && !engine.has_answered();
         crash.is_unproven = may_have_ended_before && crash.is_doubtful();
         let is_unproven = crash.is_unproven;
@@ -103,7 +106,8 @@
             "is_unproven" => is_unproven, "held_back" => self.state().poison.is_convicted(digest));
     }
 
-    /// An engine ended under a request. How many have now, one after the other; `None` when this tells nothing new.
+    /// Records that an engine crashed while it ran a request. Returns the number of consecutive
+    /// crashes of the request, or `None` when this crash adds nothing new.
     pub fn note_poison_crash(&self, digest: Digest, crash: Crash) -> Option<usize> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -123,7 +127,7 @@
         Some(count)
     }
 
-    /// A run came to a good end: its request is not what ends engines.
+    /// Records a successful run, which shows that the request does not crash engines.
     pub(crate) fn note_successful_run(&self, request: &AcceptedRequest) {
         let has_none = self.state().poison.is_empty();
         if !has_none && self.clear_poison(request.digest()) {
@@ -132,7 +136,7 @@
         }
     }
 
-    /// A run of a request came to a good end; `false` when this tells nothing new.
+    /// Clears the crashes of a request after a successful run; `false` when this changes nothing.
     pub fn clear_poison(&self, digest: Digest) -> bool {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -151,8 +155,8 @@
         is_new
     }
 
-    /// A broken connection looks like the end of its engine. One that is still listed long after has gone on, as
-    /// when a link was cut.
+    /// Removes crashes that the engine list refutes. A broken connection looks like a crash, but an
+    /// engine that is still listed long after it, as when a link was cut, has gone on running.
     fn withdraw_refuted_crashes(&self, digest: Digest, now: Timestamp) {
         let lapse = self.crashed_entry_lifetime();
         let mut state = self.state_mut();
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Whether an engine seems to have ended a little while ago.
+    /// Whether an engine has probably crashed recently.
     pub(super) fn has_crashed(
         &self,
         state: &GatewayState,
@@ -203,7 +207,7 @@
         ended_at.is_some_and(|at| now.since(at) < self.crashed_entry_lifetime())
     }
 
-    /// The engines of a pool that seem to have ended a little while ago.
+    /// The engines of a pool that have probably crashed recently.
     pub(crate) fn crashed_engines(&self, pool: &PoolName) -> Vec<BackEndName> {
         let now = self.clock().now();
         let state = self.state();
@@ -212,7 +216,7 @@
         ended.cloned().collect()
     }
 
-    /// An engine that has ended is listed for no longer.
+    /// Maximum time for which a crashed engine remains listed.
     fn crashed_entry_lifetime(&self) -> Duration {
         self.settings().entry_ttl * TTLS_UNTIL_ENTRY_REMOVED
     }
@@ -222,7 +226,8 @@
         self.request_peer_send();
     }
 
-    /// What to tell other nodes with a message; with an introduction also of requests that are held back.
+    /// The updates for the next message to other nodes; a full update also carries blocked
+    /// requests.
     pub(super) fn poison_news(
         &self,
         state: &mut GatewayState,
@@ -242,7 +247,7 @@
         updates_of(state, &digests, now)
     }
 
-    /// News of requests that every node of a large deployment needs at once.
+    /// Takes the updates that every node of a large deployment needs at once.
     pub(super) fn take_urgent_poison(
         &self,
         state: &mut GatewayState,
@@ -257,13 +262,13 @@
             TRANSMISSIONS,
         );
         if !state.poison_news.is_empty() {
-            // What this message does not hold is as urgent.
+            // The updates that did not fit into this message are just as urgent.
             self.request_peer_send();
         }
         updates_of(state, &digests, now)
     }
 
-    /// Takes what another node tells.
+    /// Applies updates received from another node.
     pub(super) fn take_poison_news(
         &self,
         state: &mut GatewayState,
@@ -294,11 +299,12 @@
     }
 }
 
-/// What others send to an engine from now on is not what ended it.
+/// Marks the engines of the reported crashes as crashed, so that requests which other nodes send to
+/// them later are not taken for the cause.
 fn note_crashed_engines(state: &mut GatewayState, update: &PoisonNews, now: Timestamp) {
     for crash_update in &update.crashes {
         let crash = crash_update.crash(now);
-        // It is update again and again, and the engine may have taken something since.
+        // The same crash is reported repeatedly, and the engine may have accepted requests since.
         let known = state.poison.get(update.digest);
         if known.is_some_and(|known| known.holds(&crash)) {
             continue;
@@ -312,7 +318,7 @@
     }
 }
 
-/// Some of the requests that are held back, others with each message.
+/// The part of the blocked requests that this full update carries; each carries another.
 fn blocked_in_rotation(state: &GatewayState) -> Vec<Digest> {
     let convicted: Vec<_> = state.poison.convicted().collect();
     rotating_part(&convicted, MAX_PER_FULL_UPDATE, state.poison_rotation)
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -1,4 +1,4 @@
-//! What this node reads of the records of requests that are held back, and what it has to write; see
+//! Reads the stored records of blocked requests and determines what to write; see
 //! docs/design/poison.md.
 
 use std::time::{Duration, SystemTime};
@@ -13,30 +13,35 @@
 use crate::serve::AcceptedRequest;
 use crate::source::{Consistency, StoredRecord};
 
-/// A request is not held for longer until the records are read: the store may be away for long, while others have told
-/// this node all that it needs to serve.
+/// Maximum time that a request waits for the records to be read: the store may be unavailable for
+/// long, while other nodes have already reported all that is needed to serve.
 const RECORDS_READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// A trial is not held for longer until the store has taken that it begins.
+/// Maximum time that a trial waits for the store to record its start.
 const RECORD_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The node that has seen an end writes it at once. Others do so when they have not heard for so long that it is written.
+/// The node that observed a crash writes it at once. Other nodes write it when they have received
+/// no report for this long that it is recorded.
 const BACKUP_WRITE_DELAY: Duration = Duration::from_secs(2);
-/// They spread over so long for each node that they know, since all of them miss the same one.
+/// These writes are spread over this time for each known node, since all nodes miss the same
+/// report.
 const BACKUP_WRITE_JITTER_PER_NODE: Duration = Duration::from_millis(50);
-/// A request that is not held back yet is written when no good end has cleared it for so long.
+/// A request that is not blocked yet is recorded when no successful run has cleared it within this
+/// time.
 const SUSPECT_WRITE_DELAY: Duration = Duration::from_secs(1);
-/// So many nodes at about the same time try to remove a record that all have forgotten, however many there are.
+/// Expected number of nodes that remove an expired record, whatever the size of the deployment: all
+/// nodes let it expire at about the same time.
 const EXPECTED_REMOVING_NODES: f64 = 3.0;
 
 impl Gateway {
-    /// From now on requests wait until the records of those that are held back have been read.
+    /// Makes requests wait from now on until the records of blocked requests have been read.
     pub(crate) fn expect_poison_records(&self) {
         let records = &mut self.state_mut().poison_records;
         records.are_kept = true;
         records.reading = Reading::Unread;
     }
 
-    /// Waits until a request that is held back is known to be. Where engines have ended under it already, what was
-    /// recorded in the last seconds matters as well. `false` when it can't be told.
+    /// Waits until this node would know that a request is blocked. A request under which engines
+    /// have already crashed also waits for the records written within the last seconds. Returns
+    /// `false` when the records could not be read in time.
     pub(crate) async fn wait_for_poison_records(&self, request: &AcceptedRequest) -> bool {
         let wanted = match self.state().poison_records.reading {
             Reading::Current => return true,
@@ -62,26 +67,27 @@
         }
     }
 
-    /// Whether engines have ended under a request, and no run of it has come to a good end since.
+    /// Whether engines have crashed under a request without a successful run since.
     fn is_suspect(&self, request: &AcceptedRequest) -> bool {
         let state = self.state();
         let has_ends = |history: &History| !history.crashes.is_empty();
         !state.poison.is_empty() && state.poison.get(request.digest()).is_some_and(has_ends)
     }
 
-    /// Whether a request may have been held back before this node started, by what it has seen since. What it can't read by
-    /// the time at which it knows the others, these have told it.
+    /// Whether a request may have been blocked before this node started, judged by the crashes
+    /// observed since. By the end of the discovery time the other nodes have reported the records
+    /// that this node could not read.
     pub(crate) fn may_be_held_back(&self, request: &AcceptedRequest) -> bool {
         self.uptime() < PEER_DISCOVERY_TIME && self.is_suspect(request)
     }
 
-    /// Whether what was recorded in the last seconds is to be read.
+    /// Whether a request waits for the records written within the last seconds.
     pub(crate) fn wants_current_records(&self) -> bool {
         let records = &self.state().poison_records;
         records.reading != Reading::Current && records.wanted_at.is_some()
     }
 
-    /// Takes all records.
+    /// Applies the complete list of records.
     pub(crate) fn take_poison_records(&self, stored: Vec<StoredRecord>, consistency: Consistency) {
         let (now, time) = (self.clock().now(), SystemTime::now());
         let count = stored.len();
@@ -100,7 +106,7 @@
             "is_stale" => consistency == Consistency::Stale,
             "uptime_ms" => self.uptime().as_millis() as u64);
         self.poison_records_changed.notify_waiters();
-        // Some of them may be outdated.
+        // Some of the records may have expired and be due for removal.
         self.poison_records_due.notify_one();
     }
 
@@ -120,21 +126,24 @@
         cancel_write_unless_newer(&mut state, digest, &stored_history);
     }
 
-    /// What this node has seen of a request is new, and nodes that start when all have gone must know it.
+    /// Schedules writing a request's record at once: this node's knowledge is new, and nodes that
+    /// start after all current ones have stopped depend on it.
     pub(super) fn schedule_poison_write(&self, digest: Digest) {
         let now = self.clock().now();
         self.state_mut().poison_records.write_by(digest, now);
         self.poison_records_due.notify_one();
     }
 
-    /// The same for a request that one more end would hold back. Most are popular ones beside another, and are cleared before.
+    /// Schedules writing the record of a request that one more crash would block. The write is
+    /// delayed because most of these are popular requests that ran beside the cause, and are
+    /// cleared soon.
     pub(super) fn schedule_suspect_write(&self, digest: Digest) {
         let at = self.clock().now().after(SUSPECT_WRITE_DELAY);
         self.state_mut().poison_records.write_by(digest, at);
         self.poison_records_due.notify_one();
     }
 
-    /// The same when another node has seen it, which writes it first.
+    /// Schedules writing a record after a delay: the node that observed the crash writes it first.
     pub(super) fn schedule_delayed_poison_write(
         &self,
         state: &mut GatewayState,
@@ -147,7 +156,8 @@
         self.poison_records_due.notify_one();
     }
 
-    /// The record that is to be written now, with the revision that it replaces; or when the next one is.
+    /// The record to write now with the revision that it replaces, or the time when the next one is
+    /// due.
     pub(crate) fn next_poison_record(&self) -> Result<(Record, Option<u64>), Option<Timestamp>> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -156,12 +166,12 @@
                 return Err(Some(at));
             }
             let Some(history) = state.poison.get(digest) else {
-                // Forgotten meanwhile.
+                // The history has expired meanwhile.
                 state.poison_records.forget(digest);
                 continue;
             };
             if !history.is_nearly_convicted() && !state.poison_records.is_held(digest) {
-                // A good end has cleared it before it was written.
+                // A successful run has cleared the request before it was recorded.
                 state.poison_records.settle(digest);
                 continue;
             }
@@ -173,7 +183,7 @@
         Err(None)
     }
 
-    /// The store has taken a record.
+    /// Handles a successful write of a record.
     pub(crate) fn note_poison_written(&self, record: &Record, revision: u64) {
         let digest = record.digest();
         let written = record.history(self.clock().now(), SystemTime::now());
@@ -187,7 +197,8 @@
         self.announce_poison(digest);
     }
 
-    /// Another node was faster: what it wrote is taken in, and what it lacks is written next.
+    /// Handles a write that lost against another node's: merges the stored record, and schedules
+    /// another write if it lacks any of this node's knowledge.
     pub(crate) fn note_poison_conflict(&self, digest: Digest, stored: Option<StoredRecord>) {
         let (now, time) = (self.clock().now(), SystemTime::now());
         let mut state = self.state_mut();
@@ -207,7 +218,7 @@
         self.poison_records_changed.notify_waiters();
     }
 
-    /// The store did not take a record: it is written again then, if it may be taken at all.
+    /// Handles a failed write; it is retried at `again_at`, or not at all if that is `None`.
     pub(crate) fn note_poison_unwritten(
         &self,
         digest: Digest,
@@ -221,7 +232,7 @@
         }
     }
 
-    /// Waits for a moment until the store has taken what this node knows of a request.
+    /// Waits, for a limited time, until the store holds what this node knows of a request.
     pub(crate) async fn wait_for_poison_write(&self, digest: Digest) {
         let limit = self.clock().now().after(RECORD_WRITE_TIMEOUT);
         let written = async {
@@ -239,7 +250,7 @@
         }
     }
 
-    /// Forgets requests whose ends are long ago, and their records.
+    /// Drops requests whose last crash is long ago, and some of their records.
     pub fn expire_poison(&self) {
         let now = self.clock().now();
         let is_chosen = self.is_removing_records();
@@ -253,14 +264,16 @@
         }
     }
 
-    /// All nodes forget at about the same time, and each removal is a call to the store.
+    /// Whether this node removes expired records this time. All nodes let a record expire at about
+    /// the same time and each removal is a request to the store, so only a few nodes, chosen at
+    /// random, do so.
     fn is_removing_records(&self) -> bool {
         let nodes = self.state().peers.known_count() + 1;
         rand::rng().random_bool((EXPECTED_REMOVING_NODES / nodes as f64).min(1.0))
     }
 }
 
-/// Nothing is left to write where the store holds all that this node knows.
+/// Cancels a scheduled write when the store already holds all that this node knows.
 pub(super) fn cancel_write_unless_newer(state: &mut GatewayState, digest: Digest, held: &History) {
     let own = state.poison.get(digest);
     if own.is_none_or(|own| !own.exceeds(held)) {
--- a/crates/gateway/src/gateway/prefill_split.rs
+++ b/crates/gateway/src/gateway/prefill_split.rs
@@ -1,4 +1,4 @@
-//! Dividing engines by what requests mostly do; see docs/design/shifted.md.
+//! Reserves engines for prefill-heavy requests; see docs/design/shifted.md.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,8 @@
 use crate::placement::{Division, Placement, PlacementRequest, ReadingNews, mostly_reads};
 
 impl Gateway {
-    /// A request was given an engine.
+    /// Counts the prefill tokens of a request that was assigned to an engine, if the request is
+    /// prefill-heavy.
     pub(super) fn count_prefill_tokens(
         &self,
         request: &PlacementRequest<'_>,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// What the nodes of this zone bring pools to read, for the others.
+    /// Prefill tokens that the nodes of this zone bring to each pool, for the other zones.
     pub(super) fn prefill_of_zone(&self, state: &GatewayState, now: Timestamp) -> Vec<ReadingNews> {
         let mut sums: BTreeMap<PoolName, u32> = BTreeMap::new();
         let own = state.reading_demand.news(now);
@@ -38,7 +39,7 @@
             .collect()
     }
 
-    /// Divides the engines of each pool anew, by what all nodes bring them.
+    /// Recomputes the split of each pool's engines from the demand at all nodes.
     pub fn refresh_prefill_splits(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -47,7 +48,7 @@
         let Some(table) = state.table.clone() else {
             return;
         };
-        // Streams that may pause for any time need no engines of their own.
+        // Pools whose streams may pause for any time need no reserved engines.
         let pools = table
             .pools()
             .filter(|pool| pool.engine.is_some() && table.longest_pause(&pool.name).is_some());
@@ -59,7 +60,7 @@
         state.divisions = divisions;
     }
 
-    /// Divides the engines of a pool, where that helps.
+    /// Splits the engines of a pool, where that helps.
     fn split_engines(
         &self,
         state: &GatewayState,
--- a/crates/gateway/src/gateway/published_weights.rs
+++ b/crates/gateway/src/gateway/published_weights.rs
@@ -1,4 +1,4 @@
-//! When weights were named.
+//! Determines when weights were published.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use crate::rollout::NamedAt;
 use crate::source::{ItemKind, NamedWeights};
 
-/// A watch that was open for so long waited for what it brings, and brings it when it happens. An
-/// answer that came sooner tells what had happened before the question: the source answers within
-/// milliseconds, when it is slow within some hundred.
+/// A watch that was open for this long was waiting for the change that it reports, and reports it
+/// as it happens. A response that came sooner contains what had happened before the request: the
+/// source answers within milliseconds, or some hundred when it is slow.
 const MIN_WAITING_WATCH: Duration = Duration::from_millis(500);
 
 impl Gateway {
-    /// The source tells that weights were named, to a question sent at `asked_at`.
+    /// Applies the publication of weights, reported by the source in response to a request sent at
+    /// `asked_at`.
     ///
-    /// They count as named from the earliest moment at which that may have happened, as far as this
-    /// node and the others know: a node that hears late must not use older weights for as much
-    /// longer.
+    /// The weights count as published from the earliest moment at which that may have happened, as
+    /// far as this node and the others know: a node that learns of them late must not use older
+    /// weights for that much longer.
     pub(super) fn take_published_weights(&self, named: &NamedWeights, asked_at: Option<Timestamp>) {
         let now = self.clock().now();
         let at = match self.state().has_weights_list {
@@ -41,12 +42,13 @@
         let state = self.state();
         let replica = state.replicas.of(ItemKind::Weights);
         let known_at = replica.freshness.confirmed_at().max(replica.read_at);
-        // Whatever is older makes no difference to what must be left at once.
+        // An earlier time would make no difference: older weights must be given up at once in any
+        // case.
         let settings = self.settings();
         let earliest = now.before(settings.assumed_weights_age);
         match known_at {
             Some(at) if now.since(at) > settings.weights_propagation_time => at.max(earliest),
-            // The grace has room for that.
+            // The grace already allows for a delay of up to `weights_propagation_time`.
             Some(_) | None => now,
         }
     }
--- a/crates/gateway/src/gateway/readers.rs
+++ b/crates/gateway/src/gateway/readers.rs
@@ -1,4 +1,4 @@
-//! Which node another one catches up with; see docs/design/reading.md.
+//! Selects the node that another one catches up with; see docs/design/reading.md.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -11,8 +11,9 @@
 use crate::peers::{Capacity, NodeIdentity, NodeState, Peer};
 
 impl Gateway {
-    /// The node that this one catches up with: the reader of its zone, or for that one the first of
-    /// all nodes. It always comes before this one, so no two wait for each other.
+    /// The node that this one catches up with: the reader of its zone, or for the reader itself the
+    /// first of all nodes. A parent always ranks before its children, so no two nodes wait for each
+    /// other.
     pub(super) fn parent(
         &self,
         state: &GatewayState,
@@ -26,11 +27,14 @@
         near.or_else(|| self.first_before_own(state, |_| true, now))
     }
 
-    /// In a wide zone the node that this one asks in place of the zone's reader: one of the next nodes in the order in which
-    /// they read, about as many as each of them then answers. `None` for these nodes themselves.
+    /// The node that this one asks in place of the reader of a wide zone: one of the secondary
+    /// readers, which are the next nodes in reading order after the reader. There are about as many
+    /// of them as nodes that each answers. `None` for the reader and the secondary readers
+    /// themselves.
     ///
-    /// While a fleet starts a thousand engines and more are listed a second. Told to two hundred nodes by one, that is 80 Mbit/s
-    /// and more (computed, 50 bytes each), and the one fell silent.
+    /// While many engines start, a thousand and more are listed a second. A single node sending
+    /// these to two hundred others needs 80 Mbit/s and more (computed, 50 bytes each), and fell
+    /// silent in trials.
     fn secondary_reader(
         &self,
         state: &GatewayState,
@@ -51,7 +55,7 @@
         }
         before.sort_unstable_by_key(|other| other.reading_rank());
         let first = xxh3_64(own.name.as_str().as_bytes()) as usize % secondary_readers;
-        // The first of all reads for the zone, and is left to the deputies.
+        // The first of all is the reader of the zone, which answers the secondary readers only.
         let turns =
             (0..secondary_readers).map(|turn| before[1 + (first + turn) % secondary_readers]);
         let mut able = turns.filter(|other| state.sync.may_ask(&other.name, now));
@@ -59,8 +63,7 @@
         Some((chosen.name.clone(), chosen.peer_address))
     }
 
-    /// The node that reads for this zone: the first of its nodes; `None` when that is this node
-    /// itself.
+    /// The reader of this zone, which is the first of its nodes; `None` if that is this node.
     pub(super) fn reader(
         &self,
         state: &GatewayState,
@@ -69,9 +72,9 @@
         self.first_before_own(state, |peer| peer.is_near, now)
     }
 
-    /// The first of the nodes that may be asked, unless this one comes before it. Those that serve come
-    /// before those that have only started, then the larger ones, which read for all others of a zone
-    /// beside their own requests, and then the names decide.
+    /// The first of the nodes that may be asked, or `None` if this node ranks before it. Ready
+    /// nodes rank before starting ones, then nodes with more capacity, which read for their whole
+    /// zone beside serving their own requests; then names decide.
     fn first_before_own(
         &self,
         state: &GatewayState,
@@ -91,7 +94,7 @@
     }
 }
 
-/// Place of a node among those of which the first is asked.
+/// Rank of a node; the node with the lowest rank is asked.
 fn asking_rank(
     state: NodeState,
     identity: &NodeIdentity,
--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -1,4 +1,4 @@
-//! Which engines take which requests while software moves; see docs/design/releases.md.
+//! Determines which engines take which requests during a release; see docs/design/releases.md.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,15 +16,16 @@
 };
 use crate::serve::AcceptedRequest;
 
-/// Engines of other versions that are listed by so long after a release was completed were replaced by it:
-/// a node that was just started hears of the release before it has read the list.
+/// Engines of other versions that are listed within this time after the completion of a release
+/// count as replaced by it: a node that has just started learns of the release before it has read
+/// the engine list.
 const REPLACED_VERSION_WINDOW: Duration = Duration::from_secs(3);
-/// A release that came to its end is forgotten after so long, when it has nothing to say any more: news of
-/// it may be on the way for some seconds.
+/// How long a finished release without further effect is kept, since updates about it may still be
+/// in transit for some seconds.
 const FINISHED_RELEASE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Gateway {
-    /// Where a request may go that was sent to these engines before.
+    /// The engines that may take a request which has already been sent to those in `tried`.
     pub(crate) fn admission(&self, pool: &PoolName, id: &str, tried: &[BackEndName]) -> Admission {
         let Some(settings) = &self.settings().releases else {
             return Admission::to(EngineFilter::Any);
@@ -34,7 +35,7 @@
         gate.admission(pool, id, tried)
     }
 
-    /// The engines that all requests of a pool go to, taken together, but for the share of a trial.
+    /// The engines that take the requests of a pool as a whole, leaving aside the share of a trial.
     pub(super) fn shared_intake(
         &self,
         state: &GatewayState,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// A request is sent to an engine, for the first time or again.
+    /// Counts a request that is sent to an engine, for the first time or again.
     pub fn note_sent(&self, pool: &PoolName, placement: &Placement, is_first: bool) {
         if self.settings().releases.is_none() {
             return;
@@ -91,7 +92,7 @@
         requests.with_label_values(&[pool.as_str(), version]).inc();
     }
 
-    /// Begins to watch the answer to a request that is sent now.
+    /// Starts timing the response to a request that is sent now.
     pub(crate) fn start_answer_timing(
         &self,
         request: &AcceptedRequest,
@@ -117,13 +118,15 @@
         })
     }
 
-    /// An answer has ended: it is judged, and a present version's tells how long answers take.
+    /// Judges a finished response. One of the present version also updates the expected response
+    /// times.
     pub fn note_release_answer(&self, watch: &AnswerTiming, end: AnswerEnd) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         let has_crashed = self.has_crashed(&state, &watch.engine, now);
         let end = match end {
-            // All that an engine ran ends with it. Counted one by one, these would outweigh what is wrong with a version.
+            // A crash of an engine ends all its runs. Counted one by one, these would outweigh the
+            // actual faults of a version.
             AnswerEnd::Failed if has_crashed => AnswerEnd::NotRun,
             end => end,
         };
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Judges releases by what all nodes have told, and sees which versions are in use.
+    /// Judges releases by the counts of all nodes, and determines which versions are in use.
     pub fn refresh_releases(&self) {
         let Some(settings) = &self.settings().releases else {
             return;
@@ -221,7 +224,7 @@
         in_use
     }
 
-    /// Tells of versions that nobody ordered and that take requests from now on.
+    /// Logs versions that were not ordered and that take requests from now on.
     fn log_new_versions(
         &self,
         state: &mut GatewayState,
@@ -246,8 +249,8 @@
     }
 }
 
-/// Whether a release was completed and its version has no engine left: others took their place without an
-/// order.
+/// Whether a release was completed but its version has no engines left, because others have
+/// replaced them without an order.
 pub(super) fn is_obsolete(known: &KnownRelease, engines: &EngineTable) -> bool {
     let order = &known.grant.order;
     let mut of_pool = engines.of_pool(&order.pool);
@@ -255,7 +258,7 @@
     known.grant.stage == Stage::Completed && !has_target
 }
 
-/// Remembers that a release which has just come to its end has replaced all other versions that are listed.
+/// Records that a release which has just finished has replaced all other listed versions.
 pub(super) fn note_all_replaced(known: &mut KnownRelease, engines: &EngineTable) {
     let order = &known.grant.order;
     let versions = ListedVersions::of(engines, &order.pool);
@@ -263,8 +266,9 @@
     known.replaced.extend(others.collect::<Vec<_>>());
 }
 
-/// Remembers which versions a completed release has replaced: not those whose engines all began after the
-/// target version's, as a node that hears of the release long after it may meet a later replacement.
+/// Records the versions that a completed release has replaced. Versions whose engines all started
+/// after those of the target version are left out: a node that learns of the release long after its
+/// end may see a later replacement.
 pub(super) fn note_replaced(known: &mut KnownRelease, engines: &EngineTable, now: Timestamp) {
     let grant = &known.grant;
     let is_fresh = now.since(known.staged_at) < REPLACED_VERSION_WINDOW;
--- a/crates/gateway/src/gateway/release_updates.rs
+++ b/crates/gateway/src/gateway/release_updates.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of releases; see docs/design/releases.md.
+//! Updates about releases that nodes send each other; see docs/design/releases.md.
 
 use std::time::Duration;
 
@@ -12,16 +12,17 @@
     EvidenceUpdate, KnownRelease, Origin, ReleaseUpdate, order_key, zone_reporter,
 };
 
-/// The end of a release is told with every message for so long, and with introductions after that: by
-/// then it has reached every node that is not cut off.
+/// How long every message carries the final grant of a release. Later only full updates do, since
+/// by then it has reached every node that is not isolated.
 const FINAL_GRANT_SEND_TIME: Duration = Duration::from_secs(10);
 
-/// Most counts of a release that one message tells of: about 10 KB of the 60 KB that a datagram carries,
-/// since one that is longer is not sent at all.
+/// Maximum number of counts of a release in one message: about 10 KB of the 60 KB that a datagram
+/// carries, since a longer datagram is not sent at all.
 const MAX_CELLS_PER_MESSAGE: usize = 300;
 
 impl Gateway {
-    /// The newest grants, for other nodes; with an introduction also those that ended long ago.
+    /// The newest grants, for other nodes; a full update also carries those that became final long
+    /// ago.
     pub(super) fn release_updates(
         &self,
         state: &GatewayState,
@@ -37,21 +38,21 @@
         known.map(|known| updates_of(known, now)).collect()
     }
 
-    /// What this node has seen of answers, for other nodes.
+    /// Counts of responses that this node has seen, for other nodes.
     pub(super) fn evidence_updates(&self, state: &GatewayState) -> Vec<EvidenceUpdate> {
         let open = state.releases.iter().filter(|known| !known.is_final());
         let own = open.map(|known| evidence_of(known, known.ledger.own(), state.sequence));
         own.filter(|update| !update.1.is_empty()).collect()
     }
 
-    /// What the nodes of this zone have seen of answers, for the other zones.
+    /// Counts of responses that the nodes of this zone have seen, for the other zones.
     pub(super) fn evidence_of_zone(&self, state: &GatewayState) -> Vec<EvidenceUpdate> {
         let open = state.releases.iter().filter(|known| !known.is_final());
         let sums = open.map(|known| evidence_of(known, &known.total_of_zone(), state.sequence));
         sums.filter(|update| !update.1.is_empty()).collect()
     }
 
-    /// Grants that begin another stage, which every node needs at once.
+    /// Takes the grants that start another stage, which every node needs at once.
     pub(super) fn take_urgent_releases(
         &self,
         state: &mut GatewayState,
@@ -62,13 +63,13 @@
         known.map(|known| updates_of(known, now)).collect()
     }
 
-    /// Takes what another node tells of releases.
+    /// Applies what another node reports of releases.
     pub(super) fn take_release_updates(&self, state: &mut GatewayState, message: &PeerMessage) {
         if self.settings().releases.is_none() {
             return;
         }
         self.take_grants(state, &message.releases);
-        // The grants came with it, so that a pool without one has no order.
+        // The same message carried all grants, so a pool without one has no order.
         state.releases.knows_orders |= message.knows_orders;
         let is_near = message.from.zone == self.settings().identity.zone;
         let origin = match is_near {
@@ -78,7 +79,7 @@
         take_evidence(state, &message.evidence, message.from.incarnation, origin);
     }
 
-    /// Takes what another zone tells of releases.
+    /// Applies what another zone reports of releases.
     pub(super) fn take_zone_release_updates(&self, state: &mut GatewayState, update: &ZoneUpdate) {
         if self.settings().releases.is_none() {
             return;
@@ -98,8 +99,8 @@
     }
 }
 
-/// Some of the counts, when there are many: others with each message. They only rise, so what is told
-/// later includes what was left out.
+/// Selects the counts to send. When there are too many for one message, each message carries
+/// another part. Counts only rise, so later messages include what an earlier one left out.
 fn evidence_of(known: &KnownRelease, counts: &Counts, turn: u64) -> EvidenceUpdate {
     let cells = counts.iter().count();
     let parts = cells.div_ceil(MAX_CELLS_PER_MESSAGE).max(1);
--- a/crates/gateway/src/gateway/release_work.rs
+++ b/crates/gateway/src/gateway/release_work.rs
@@ -1,5 +1,5 @@
-//! Who follows the orders of releases and who directs them, and what a node reads from the source; see
-//! docs/design/releases.md.
+//! Determines which node follows and directs release orders, and what a node reads of them from the
+//! source; see docs/design/releases.md.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,24 +9,24 @@
 use super::{Gateway, PEER_DISCOVERY_TIME};
 
 impl Gateway {
-    /// Whether an order of a release has not come to its end, as far as this node follows them: then the
-    /// lease of orders is needed.
+    /// Whether this node follows a release order that is not finished, for which the order lease is
+    /// needed.
     pub fn has_release_work(&self) -> bool {
         self.state().has_release_work
     }
 
-    /// Notes whether there is such an order.
+    /// Records whether this node follows a release order that is not finished.
     pub fn note_release_work(&self, has_work: bool) {
         self.state_mut().has_release_work = has_work;
     }
 
-    /// All orders of releases were read.
+    /// Records that all release orders have been read.
     pub fn note_orders_known(&self) {
         self.state_mut().releases.knows_orders = true;
     }
 
-    /// Fencing number of the lease of orders, checked anew before each use: this process may have been
-    /// paused since the lease was last looked at.
+    /// Fencing number of the order lease, checked before each use: this process may have been
+    /// paused since it last checked the lease.
     pub fn valid_order_fence(&self) -> Option<u64> {
         let now = self.clock().now();
         let state = self.state();
@@ -34,13 +34,13 @@
         state.order_fence.filter(|_| is_valid)
     }
 
-    /// Whether this node is the one that follows the orders of releases.
+    /// Whether this node is the one that follows release orders.
     pub fn may_follow_orders(&self) -> bool {
         !self.is_leaving() && self.should_give_orders()
     }
 
-    /// Whether this node would know by now of another one that follows them. Without this, nodes that are
-    /// all started at once would each ask the source.
+    /// Whether this node would know by now of another one that follows release orders. Without this
+    /// check, nodes that all start at once would each ask the source.
     pub fn knows_order_candidates(&self) -> bool {
         let state = self.state();
         let is_settled = self.uptime() >= PEER_DISCOVERY_TIME || state.peers.is_settled();
@@ -54,7 +54,7 @@
         releases.map(|known| known.grant.clone()).collect()
     }
 
-    /// Grants that have run out without an end: no director was heard for long.
+    /// Grants that have expired without being final, because no director has renewed them for long.
     pub fn expired_grants(&self) -> Vec<Grant> {
         let Some(settings) = &self.settings().releases else {
             return Vec::new();
@@ -66,13 +66,14 @@
         lapsed.map(|known| known.grant.clone()).collect()
     }
 
-    /// This node goes by what the source holds of a release.
+    /// Applies a grant that the source has recorded.
     pub fn take_recorded_grant(&self, grant: Grant) {
         let mut state = self.state_mut();
         self.take_grant(&mut state, grant, Duration::ZERO);
     }
 
-    /// Whether a pool has engines of several versions, and it is not known which of them are ordered.
+    /// Whether a pool has engines of several versions while it is not known which of them are
+    /// ordered.
     pub fn lacks_orders(&self) -> bool {
         let state = self.state();
         if state.releases.knows_orders || self.is_leaving() {
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -1,4 +1,4 @@
-//! Grants, counts and engines of a release, as its director and the other nodes take and give them; see
+//! Grants, counts and engines of a release, for its director and for the other nodes; see
 //! docs/design/releases.md.
 
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use crate::engines::Engine;
 
 impl Gateway {
-    /// The director gives a grant: this node goes by it, and tells the others. Another stage every node
-    /// is told at once.
+    /// Applies a grant of the director on this node and publishes it to the others; a new stage is
+    /// sent to every node at once.
     pub fn publish_grant(&self, grant: Grant) {
         let mut state = self.state_mut();
         let pool = grant.order.pool.clone();
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes a grant that the director gave so long ago; tells whether it begins another stage.
+    /// Applies a grant that the director gave `age` ago; returns whether it starts another stage.
     pub(super) fn take_grant(&self, state: &mut GatewayState, grant: Grant, age: Duration) -> bool {
         let now = self.clock().now();
         let pool = grant.order.pool.clone();
@@ -36,7 +36,8 @@
         let after = (grant.order.clone(), grant.stage);
         let (share, fence, elapsed) = (grant.share, grant.fence, grant.elapsed);
         let is_taken = state.releases.take(grant, now.before(age), now);
-        // A node that has followed the release knows that all others are replaced, also those that began lately.
+        // A node that has followed the release knows that all other versions have been replaced,
+        // including those whose engines started recently.
         let has_followed = before
             .as_ref()
             .is_some_and(|(order, stage)| *order == after.0 && !stage.is_final());
@@ -57,7 +58,7 @@
         is_stage
     }
 
-    /// The newest grant of a pool that this node knows, and its age.
+    /// The newest known grant of a pool, and its age.
     pub fn known_grant(&self, pool: &PoolName) -> Option<(Grant, Duration)> {
         let now = self.clock().now();
         let state = self.state();
@@ -65,7 +66,7 @@
         Some((known.grant.clone(), now.since(known.granted_at)))
     }
 
-    /// A release that this node goes on to direct, if it knows of it.
+    /// The progress of a release that this node takes over as director, if it knows of the release.
     pub fn resumed_release(&self, order: &Order, settings: &Settings) -> Option<Progress> {
         let now = self.clock().now();
         let state = self.state();
@@ -74,7 +75,7 @@
         Some(known.resume(settings.clone(), now))
     }
 
-    /// What all nodes have seen of the answers in a release, as far as they have told.
+    /// Counts of the responses that all nodes have seen in a release, as far as reported.
     pub fn release_counts(&self, order: &Order) -> Counts {
         let state = self.state();
         let is_large = state.peers.is_large();
@@ -107,7 +108,8 @@
         let table = state.table.as_ref();
         let longest_request =
             table.map_or(Duration::ZERO, |table| table.longest_timeout(&order.pool));
-        // Without news of the director a node sends nothing new there.
+        // A node that receives nothing from the director sends no new requests to the target
+        // version once its grant has expired.
         let life = self.settings().releases.as_ref();
         let life = life.map_or(Duration::ZERO, |settings| settings.grant_life());
         let within = longest_request + life;
--- a/crates/gateway/src/gateway/replica_freshness.rs
+++ b/crates/gateway/src/gateway/replica_freshness.rs
@@ -1,8 +1,8 @@
-//! How nodes of a small deployment prove to each other that their copies are current.
+//! Nodes of a small deployment confirm to each other that their replicas are current.
 //!
-//! Each of them watches the source for itself, and a watch whose connection has fallen silent tells
-//! nothing and ends late. So the nodes together ask the source every now and then whether anything
-//! has changed, and tell each other; see docs/design/reading.md.
+//! Each of them watches the source for itself, but a watch whose connection has fallen silent
+//! reports nothing and ends late. The nodes therefore share the work of asking the source regularly
+//! whether anything has changed, and report the result to each other; see docs/design/reading.md.
 
 use std::time::Duration;
 
@@ -13,30 +13,31 @@
 use crate::peers::{PeerMessage, ReplicaFreshness};
 use crate::source::{ItemKind, SourceError};
 
-/// Kinds whose copies are proven in this way; the configuration has proofs of its own.
+/// Kinds whose replicas are confirmed in this way; the configuration has a check of its own.
 const CHECKED_KINDS: [ItemKind; 2] = [ItemKind::Engines, ItemKind::Weights];
-/// The node that comes first asks when its proof is older than this share of the time within which
-/// changes must be in force. With the time to ask and to tell the others, what a watch has missed
-/// is known everywhere within three quarters of that time.
+/// The first node asks when its confirmation is older than this share of the propagation limit.
+/// Including the time to ask and to report to the others, a change that a watch has missed is known
+/// to all nodes within three quarters of that limit.
 const FIRST_CHECK_SHARE: f64 = 0.35;
-/// The others ask in its place when they have had no proof for longer than it and its answer take.
+/// The other nodes ask in its place when their confirmation is older than this share, which leaves
+/// the first node time to ask and to report.
 const BACKUP_CHECK_SHARE: f64 = 0.55;
-/// Replaced weights may be used for much longer than engines that leave, and the time at which they
-/// were named is counted from the last proof, so these are proven this much less often.
+/// Weights are checked this much less often: replaced weights may be used for much longer than
+/// engines that leave, and the time of a publication is counted from the last confirmation.
 const WEIGHTS_INTERVAL_FACTOR: f64 = 2.0;
 
 impl Gateway {
-    /// Whether the source should be asked for a proof that the copy is current.
+    /// Whether the source should be asked to confirm that the replica is current.
     pub(crate) fn needs_freshness_check(&self, kind: ItemKind) -> bool {
         let now = self.clock().now();
         let state = self.state();
         if state.peers.is_large() {
-            // There nodes ask each other, and readers watch for short times only.
+            // In a large deployment nodes ask each other, and the watches of readers are short.
             return false;
         }
         let replica = state.replicas.of(kind);
         if replica.revision.is_none() {
-            // The first list is read elsewhere.
+            // The initial list is read elsewhere.
             return false;
         }
         let interval = self.freshness_check_interval(&state, kind, now);
@@ -44,7 +45,7 @@
         replica.is_behind() || known_at.is_none_or(|at| now.since(at) >= interval)
     }
 
-    /// A question for a proof failed, so many in a row.
+    /// Handles a failed check; `failures` is the number of consecutive ones.
     pub(crate) fn note_freshness_check_failed(
         &self,
         kind: ItemKind,
@@ -57,15 +58,16 @@
         }
     }
 
-    /// The same for the configuration, whose watch tells of trouble by itself.
+    /// Handles a failed check of the configuration. Only a lost history matters here, since the
+    /// configuration's watch reports disruptions itself.
     pub(crate) fn note_configuration_check_failed(&self, error: &SourceError) {
         if *error == SourceError::HistoryGone {
             self.note_history_lost(ItemKind::Configuration);
         }
     }
 
-    /// The source has forgotten the changes since the copy: the watch can't go on either, and the list
-    /// is read again.
+    /// Records that the source no longer holds the changes since the replica's revision, so that
+    /// the watch can't continue either and the list must be read again.
     fn note_history_lost(&self, kind: ItemKind) {
         info!(self.log(), "copy_history_lost"; "kind" => %kind);
         self.state_mut().replicas.of_mut(kind).is_history_lost = true;
@@ -88,8 +90,8 @@
         self.settings().propagation_limit.mul_f64(share * factor)
     }
 
-    /// Whether this node comes before all others that serve: those that reach the source first,
-    /// then by name.
+    /// Whether this node comes before all other ready nodes: those that reach the source come
+    /// first, then names decide.
     fn is_first_checker(&self, state: &GatewayState, now: Timestamp) -> bool {
         let own = &self.settings().identity.name;
         let rank = |reaches_source: bool, name| (!reaches_source, name);
@@ -98,7 +100,7 @@
         others.all(|peer| own_rank < rank(peer.reaches_store, &peer.identity.name))
     }
 
-    /// What this node can prove of its copies.
+    /// How recently this node's replicas were confirmed, for other nodes.
     pub(super) fn replica_freshness(
         &self,
         state: &GatewayState,
@@ -118,8 +120,8 @@
         CHECKED_KINDS.into_iter().filter_map(proof).collect()
     }
 
-    /// What another node says of its copies: it proves this node's as well, or shows that a change is
-    /// missing there.
+    /// Applies what another node reports of its replicas: it confirms this node's as well, or shows
+    /// that they lack a change.
     pub(super) fn take_replica_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
         let now = self.clock().now();
         let sent_at = self.echoed_message_sent_at(state, message);
--- a/crates/gateway/src/gateway/shared.rs
+++ b/crates/gateway/src/gateway/shared.rs
@@ -1,4 +1,4 @@
-//! The gateway's shared handle.
+//! The handle that the tasks of a gateway share.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
@@ -19,20 +19,19 @@
 use crate::telemetry::{LogSampler, Metrics};
 use crate::upstream::Upstream;
 
-/// Within this time a node that was just started comes to know the others, also when all were
-/// started at once.
+/// Time after start within which a node gets to know the others, even when all start at once.
 pub(crate) const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
-/// Nodes that share the retry budget, as long as a new node does not know better.
+/// Minimum number of nodes assumed to share the retry budget while a new node discovers its peers.
 const MIN_PROCESSES_DURING_DISCOVERY: usize = 16;
-/// Of the time for older weights at most this share is left unused because requests begin late.
+/// Maximum share of the grace for older weights that is given up because requests start late.
 const MAX_BEGIN_SHARE: f64 = 0.25;
 
-/// Lines a second that tell of requests that ended unserved: more than a node in trouble needs to
-/// show what is wrong, few enough for the log to bear.
+/// Log lines a second about requests that ended unserved: enough to show what is wrong with a
+/// failing node, without flooding the log.
 const UNSERVED_LINES_PER_SECOND: u32 = 50;
 
-/// Lines a second that tell of entries of the list of engines: enough to see single ones come and go, while a list of
-/// ten thousand is told by its number.
+/// Log lines a second about entries of the engine list: enough to follow single engines, while a
+/// list of ten thousand is logged by its length.
 const ENGINE_LINES_PER_SECOND: u32 = 20;
 
 /// Everything that the tasks of a gateway share.
@@ -51,22 +50,22 @@
     upstream: Upstream,
     state: RefCell<GatewayState>,
     pub(super) send_requested: Notify,
-    /// A request waits for the records of those that are held back.
+    /// Notified when a request waits for the records of blocked requests.
     pub(crate) poison_records_wanted: Notify,
-    /// A record is to be written or removed.
+    /// Notified when a record is to be written or removed.
     pub(crate) poison_records_due: Notify,
-    /// Records have been read or written.
+    /// Notified when records have been read or written.
     pub(super) poison_records_changed: Notify,
     leaving: Notify,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway with empty state.
     pub fn new(settings: GatewaySettings, dialect: Rc<dyn Dialect>, log: Logger) -> Rc<Self> {
         Self::with_clock(settings, dialect, log, Clock::start())
     }
 
-    /// The same with a clock that has been started.
+    /// Creates a gateway with a clock that has already been started.
     pub fn with_clock(
         settings: GatewaySettings,
         dialect: Rc<dyn Dialect>,
@@ -95,7 +94,7 @@
         })
     }
 
-    /// Settings.
+    /// The settings.
     pub fn settings(&self) -> &GatewaySettings {
         &self.settings
     }
@@ -105,47 +104,47 @@
         self.clock
     }
 
-    /// The log.
+    /// The logger.
     pub fn log(&self) -> &Logger {
         &self.log
     }
 
-    /// Bounds lines that tell of what went well.
+    /// Limits log lines about successful requests.
     pub fn sampler(&self) -> &LogSampler {
         &self.sampler
     }
 
-    /// Bounds lines that tell of requests that ended unserved.
+    /// Limits log lines about requests that ended unserved.
     pub fn unserved_sampler(&self) -> &LogSampler {
         &self.unserved_sampler
     }
 
-    /// Bounds lines that tell of requests sent by a list of engines that was old.
+    /// Limits log lines about requests dispatched with an old engine list.
     pub fn old_list_sampler(&self) -> &LogSampler {
         &self.old_list_sampler
     }
 
-    /// Bounds lines that tell of bad answers during a release.
+    /// Limits log lines about bad responses during a release.
     pub fn release_sampler(&self) -> &LogSampler {
         &self.release_sampler
     }
 
-    /// Bounds lines that tell of entries of the list of engines.
+    /// Limits log lines about entries of the engine list.
     pub fn engine_sampler(&self) -> &LogSampler {
         &self.engine_sampler
     }
 
-    /// Bounds lines that tell what engines say of themselves.
+    /// Limits log lines about signals of engines.
     pub fn signal_sampler(&self) -> &LogSampler {
         &self.signal_sampler
     }
 
-    /// Metrics.
+    /// The metrics.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// The translation of heads.
+    /// Translates request and response heads.
     pub fn dialect(&self) -> &dyn Dialect {
         self.dialect.as_ref()
     }
@@ -155,17 +154,17 @@
         &self.upstream
     }
 
-    /// What the gateway believes; never held across an await.
+    /// Borrows the state; the borrow must not be held across an await point.
     pub fn state(&self) -> Ref<'_, GatewayState> {
         self.state.borrow()
     }
 
-    /// The same, to change it.
+    /// Borrows the state mutably; the borrow must not be held across an await point.
     pub fn state_mut(&self) -> RefMut<'_, GatewayState> {
         self.state.borrow_mut()
     }
 
-    /// Chooses an engine.
+    /// Chooses an engine for a request.
     pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<Placement> {
         let admission = self.admission(request.pool, request.id, request.tried);
         let first = self.choose_among(request, &admission.first, admission.failing);
@@ -223,8 +222,9 @@
         chooser.choose_among(request, intake, failing)
     }
 
-    /// Requests of each pool that began on replaced weights since the last call, at all nodes: the
-    /// own ones stand for those of the others, which callers come to by what each bears.
+    /// Takes the number of requests of each pool that started on replaced weights since the last
+    /// call, estimated for all nodes: callers reach each node in proportion to its capacity, so
+    /// this node's count is scaled up by its share of the total capacity.
     pub fn take_stale_weight_starts(&self) -> Vec<(PoolName, f64)> {
         let mut state = self.state_mut();
         let nodes = (state.peers.known_count() + 1) as f64;
@@ -235,7 +235,7 @@
         own.into_iter().map(all).collect()
     }
 
-    /// A request for a pool arrived.
+    /// Counts a request that arrived for a pool.
     pub fn count_request(&self, pool: &PoolName) {
         let now = self.clock.now();
         let mut state = self.state_mut();
@@ -244,12 +244,13 @@
         state.requests.count(1.0, now);
     }
 
-    /// Takes a retry from the budget of a pool.
+    /// Takes a retry from a pool's budget, if any is left.
     pub fn spend_retry(&self, pool: &PoolName) -> bool {
         self.spend_retry_of(pool, RetryWindow::spend)
     }
 
-    /// The same for an attempt that has not failed and may only be slow.
+    /// Takes a retry for an attempt that has not failed but may be slow, if the budget has any left
+    /// for such retries.
     pub fn spend_speculative_retry(&self, pool: &PoolName) -> bool {
         self.spend_retry_of(pool, RetryWindow::spend_spare)
     }
@@ -277,7 +278,7 @@
         is_allowed
     }
 
-    /// Begins to leave: no new callers, what runs is finished.
+    /// Starts the shutdown: new callers are no longer accepted, requests in progress are finished.
     pub fn leave(&self) {
         self.state_mut().node_state = NodeState::Leaving;
         self.state_mut().broadcast_next = true;
@@ -286,12 +287,12 @@
         self.leaving.notify_waiters();
     }
 
-    /// Whether the gateway leaves.
+    /// Whether the gateway is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.state().node_state == NodeState::Leaving
     }
 
-    /// Resolves once the gateway leaves.
+    /// Resolves once the gateway is shutting down.
     pub async fn left(&self) {
         let notified = self.leaving.notified();
         if self.is_leaving() {
--- a/crates/gateway/src/gateway/source_items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -1,4 +1,4 @@
-//! Taking in what the source tells.
+//! Applies what the source reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,14 +14,14 @@
 use crate::peers::NodeState;
 use crate::source::{Consistency, Item, ItemBatch, ItemChange, ItemKind, List, SourceError};
 
-/// An answer that takes no longer shows that the source answered when it was asked: it does so within
-/// milliseconds, and when it is slow within some hundred.
+/// A response that takes no longer than this shows that the source was available when the request
+/// was sent: it answers within milliseconds, or some hundred when it is slow.
 const PROMPT_RESPONSE_LIMIT: Duration = Duration::from_millis(500);
-/// So many calls that fail in a row are a disruption of the source.
+/// Minimum number of consecutive failed requests that count as a disruption of the source.
 const MIN_DISRUPTION_FAILURES: u32 = 2;
 
 impl Gateway {
-    /// The source listed all items of a kind at `revision`, to a question sent at `asked_at`.
+    /// Applies the list of all items of a kind at `revision`, read by a request sent at `asked_at`.
     pub fn take_list(&self, kind: ItemKind, items: Vec<Item>, revision: u64, asked_at: Timestamp) {
         let list = List {
             items,
@@ -32,7 +32,7 @@
         self.take_list_of(kind, list);
     }
 
-    /// The same; a list that may be stale proves nothing.
+    /// Applies a list of all items of a kind. A list that may be stale confirms nothing.
     pub fn take_list_of(&self, kind: ItemKind, list: List) {
         let now = self.clock().now();
         let asked_at = list.asked_at;
@@ -50,7 +50,7 @@
         self.replace_all(kind, list.items, confirmed_at);
     }
 
-    /// Another node hands on the list of engines, which the source does not tell this one.
+    /// Applies an engine list from another node, used while the source does not answer this one.
     pub(super) fn take_peer_list(
         &self,
         entries: &[EngineEntry],
@@ -64,7 +64,8 @@
         self.replace_known(ItemKind::Engines, items, None);
     }
 
-    /// The copy is about to become this list.
+    /// Logs the changes that a list is about to make to the replica, and advances the replica to
+    /// its revision.
     fn log_list_changes(&self, kind: ItemKind, items: &[Item], revision: u64) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -86,8 +87,9 @@
         replica.is_history_lost = false;
     }
 
-    /// Takes changes up to a revision: from the source, to a question sent at `asked_at`, or from
-    /// another node. What is known already is passed over, since the newest state counts.
+    /// Applies changes up to a revision, from the source in response to a request sent at
+    /// `asked_at`, or from another node. A batch older than the replica is ignored, since the
+    /// newest state counts.
     pub fn take_batch(&self, kind: ItemKind, batch: ItemBatch, asked_at: Option<Timestamp>) {
         let mut state = self.state_mut();
         if state.replicas.of(kind).revision > Some(batch.revision) {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// The source listed all items of a kind, to a question sent at `asked_at`.
+    /// Replaces all items of a kind by those that the source listed in response to a request sent
+    /// at `asked_at`.
     pub fn replace_items(&self, kind: ItemKind, items: Vec<Item>, asked_at: Timestamp) {
         self.replace_all(kind, items, Some(asked_at));
     }
@@ -139,15 +142,16 @@
         }
     }
 
-    /// The source told changes, or that there are none, to a question sent at `asked_at`.
+    /// Applies changes, or none, that the source reported in response to a request sent at
+    /// `asked_at`.
     pub fn change_items(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Timestamp) {
         self.note_engine_list_read(kind);
         self.apply(kind, changes, Some(asked_at));
         self.note_source_answer(kind, Some(asked_at));
     }
 
-    /// The list of engines can be read again after calls for it had failed: entries that lapsed
-    /// meanwhile may come back from now on.
+    /// Records that the engine list can be read again after failed requests: entries that expired
+    /// meanwhile may return from now on.
     fn note_engine_list_read(&self, kind: ItemKind) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -156,7 +160,8 @@
         }
     }
 
-    /// The source answered; `confirmed_at` the copy was certainly current.
+    /// Records an answer of the source. If it confirms the replica, `confirmed_at` is when that was
+    /// current.
     fn note_source_answer(&self, kind: ItemKind, confirmed_at: Option<Timestamp>) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -164,7 +169,7 @@
         state.source_answered_at = Some(now);
         if let Some(confirmed_at) = confirmed_at {
             let replica = state.replicas.of_mut(kind);
-            // A late answer may lack what another node has told meanwhile.
+            // A late answer may lack what another node has reported meanwhile.
             if replica.behind_since <= Some(confirmed_at) {
                 replica.note_caught_up();
             }
@@ -174,7 +179,8 @@
         self.become_ready();
     }
 
-    /// The source answered a question that was asked at `asked_at` and might wait for `wait`.
+    /// Records that the source answered a request that was sent at `asked_at` and might wait for
+    /// `wait`.
     pub(crate) fn note_response_time(&self, asked_at: Timestamp, wait: Duration) {
         let taken = self.clock().now().since(asked_at);
         if taken < wait + PROMPT_RESPONSE_LIMIT {
@@ -182,13 +188,14 @@
         }
     }
 
-    /// Whether the source answered this node or another one after `moment`, as far as is known.
+    /// Whether the source is known to have answered this node or another one after `moment`.
     pub fn source_answered_since(&self, moment: Timestamp) -> bool {
         let answered_at = self.state().source_answered_at;
         answered_at.is_some_and(|at| at > moment)
     }
 
-    /// Takes changes in; those of the source came to a question sent at `asked_at`.
+    /// Applies changes. `asked_at` is the send time of the request to the source that returned
+    /// them, if any.
     fn apply(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Option<Timestamp>) {
         for change in changes {
             match change {
@@ -206,10 +213,12 @@
         }
     }
 
-    /// A call to the source failed; `failures` of this kind in a row.
+    /// Handles a failed request to the source; `failures` is the number of consecutive ones for
+    /// this kind.
     pub fn note_source_failure(&self, kind: ItemKind, error: &SourceError, failures: u32) {
         if kind == ItemKind::Engines && *error == SourceError::NoAnswer {
-            // Entries lapse within three heartbeats: a second such call would come too late.
+            // Entries expire within three heartbeats, so waiting for a second failure would be too
+            // late.
             self.note_engine_list_lost();
         }
         self.note_source_disruption(kind, failures);
@@ -222,7 +231,8 @@
         state.is_engine_list_failing = true;
     }
 
-    /// The same, whatever the error. A single one may be a watch that was cut in calm times.
+    /// Handles a failed request to the source, whatever the error. A single failure is not yet a
+    /// disruption: it may be a watch that was closed in normal operation.
     pub fn note_source_disruption(&self, kind: ItemKind, failures: u32) {
         self.state_mut().is_source_reachable = false;
         if failures < MIN_DISRUPTION_FAILURES {
@@ -233,13 +243,13 @@
         }
         let now = self.clock().now();
         let mut state = self.state_mut();
-        // Where the source answers others, only this node's way to it is harmed.
+        // If the source answers other nodes, only this node's connection to it is impaired.
         if !state.steadiness.holds(self.settings().entry_ttl, now) {
             state.deadlines.extend_from(now);
         }
     }
 
-    /// Version of the configuration, once one is known.
+    /// Version of the configuration; `None` until one is known.
     pub fn configuration_version(&self) -> Option<u64> {
         self.state().table.as_ref().map(|table| table.version())
     }
@@ -256,7 +266,7 @@
             .configuration_version
             .set(table.version() as i64);
         state.table = Some(table);
-        // If another node knows a still newer one, it tells that again.
+        // If another node has a still newer configuration, it reports that again.
         let replica = state.replicas.of_mut(ItemKind::Configuration);
         replica.note_caught_up();
     }
@@ -293,8 +303,8 @@
         self.metrics().engines.set(state.engines.count() as i64);
     }
 
-    /// An entry went: at once out of use, but while the source was in trouble, which loses entries
-    /// of engines that still serve.
+    /// Handles a removed entry. The engine is dropped at once, unless the source was disrupted,
+    /// which removes entries of engines that still serve.
     fn engine_gone(&self, name: &BackEndName) {
         let now = self.clock().now();
         let grace = self.settings().unlisted_grace;
@@ -315,8 +325,8 @@
         self.remove_engine(name);
     }
 
-    /// An entry can't be read: another writer has put it in the place of the engine's, which is no lapse,
-    /// so the engine is out of use at once, also while the source is in trouble.
+    /// Handles an entry that can't be parsed. Another writer has replaced the engine's entry, which
+    /// is no expiry, so the engine is dropped at once even during a disruption of the source.
     fn engine_unusable(&self, name: &BackEndName) {
         let is_new_state = self.state_mut().unusable_entries.insert(name.clone());
         if is_new_state {
@@ -341,7 +351,7 @@
         self.upstream().forget(name);
     }
 
-    /// Removes engines whose entry went during trouble and did not come back.
+    /// Drops engines whose entries were removed during a disruption and have not returned.
     pub fn remove_unlisted(&self) {
         let now = self.clock().now();
         let grace = self.settings().unlisted_grace;
@@ -358,7 +368,7 @@
         }
     }
 
-    /// Whether some engine that stays has older weights than named.
+    /// Whether any engine that stays has older weights than published.
     pub fn has_outdated_engines(&self) -> bool {
         let mut state = self.state_mut();
         let state = &mut *state;
@@ -366,7 +376,7 @@
         behind.is_any(&state.engines, &state.deadlines)
     }
 
-    /// Where an engine listens.
+    /// Address of an engine.
     pub fn address_of(&self, engine: &BackEndName) -> Option<SocketAddr> {
         let state = self.state();
         state.engines.get(engine).map(|known| known.entry.address)
@@ -376,8 +386,9 @@
         let now = self.clock().now();
         let mut state = self.state_mut();
         let knows_all = state.table.is_some() && state.has_engine_list;
-        // A list that came late is completed by the node that knows more, if that answers; otherwise
-        // a node that starts while answers are 3 s late serves engines that left 5 s before.
+        // A list that arrived late is first completed by the node that knows more, if it answers.
+        // Otherwise a node that starts while answers are 3 s late serves with engines that left 5 s
+        // before.
         let list = state.replicas.of(ItemKind::Engines);
         let is_old =
             list.is_behind() && !list.is_behind_for(self.settings().propagation_limit, now);
@@ -389,7 +400,7 @@
     }
 }
 
-/// What a list changes of the engines that are known.
+/// The changes that a list makes to the known engines.
 fn differences(engines: &EngineTable, items: &[Item]) -> Vec<ItemChange> {
     let listed = items.iter().filter_map(entry_name).collect();
     let gone = engines.names_outside(&listed);
@@ -409,7 +420,7 @@
     gone.chain(changed).collect()
 }
 
-/// Name of an entry of the list of engines.
+/// Name of the engine of a list item.
 fn entry_name(item: &Item) -> Option<&BackEndName> {
     match item {
         Item::Engine(entry) => Some(&entry.name),
--- a/crates/gateway/src/gateway/source_log.rs
+++ b/crates/gateway/src/gateway/source_log.rs
@@ -1,7 +1,7 @@
-//! What is logged and counted of questions to the source.
+//! Logs and counts requests to the source.
 //!
-//! The lines tell by which way and how late a change became known: a change that the watch did not
-//! bring, though it was open, shows a watch on a silent connection; see
+//! The log lines show how and how late a change became known. A change that an open watch did not
+//! report indicates a watch on a silent connection; see
 //! docs/incidents/2026-12-02-silent-connections.md.
 
 use derive_more::Display;
@@ -11,22 +11,22 @@
 use super::Gateway;
 use crate::source::{ItemBatch, ItemKind};
 
-/// A way of asking the source.
+/// Kind of a request to the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum SourceRequestKind {
-    /// All items.
+    /// Lists all items.
     #[display("list")]
     List,
-    /// Changes, waited for.
+    /// Waits for changes.
     #[display("watch")]
     Watch,
-    /// Changes until now, to prove that a copy is current.
+    /// Asks for the changes until now, to confirm that a replica is current.
     #[display("probe")]
     Probe,
 }
 
 impl Gateway {
-    /// Counts how a question ended.
+    /// Counts a request to the source by its outcome.
     pub(crate) fn count_source_request(
         &self,
         kind: ItemKind,
@@ -42,7 +42,7 @@
         questions.with_label_values(&[&question]).inc();
     }
 
-    /// Logs changes that an answer brought, before they are taken in.
+    /// Logs the changes in a response; called before they are applied.
     pub(crate) fn log_source_changes(
         &self,
         kind: ItemKind,
--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -1,4 +1,5 @@
-//! Who reads the source, and how the other nodes catch up; see docs/design/reading.md.
+//! Determines which nodes read the source, and synchronises the others from them; see
+//! docs/design/reading.md.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,40 +14,43 @@
 use crate::source::{ItemBatch, ItemKind};
 use crate::sync::{Answer, Changes, EngineChange, Mark, Question};
 
-/// Most changes of the list of engines in one answer, as entries of some 200 bytes each ..
+/// Maximum number of changes of the engine list in one answer, as entries of some 200 bytes each.
 const MAX_CHANGES: usize = 40;
-/// .. and in groups, with some 50 bytes each, of which they fill a datagram. Where more engines change at once, the list is
-/// handed on.
+/// Maximum number of changes in one answer where they are grouped, at some 50 bytes each, which
+/// fills a datagram. Where more engines change at once, the whole list is transferred.
 const MAX_GROUPED_CHANGES: usize = 1_000;
-/// Of few nodes each watches the source itself, and changes reach all within milliseconds. So long a
-/// node that hears of a change first waits for its own watch, and then asks the node that told: where
-/// the source answers one of seven nodes 1.6 s late, that one knows of a second change in a row in
-/// under 2 s, and 2.9 s after it without asking (virtual clock, longest of four plays).
+/// In a small deployment each node watches the source itself, and changes reach all nodes within
+/// milliseconds. A node that another one reports a change to waits for its own watch for this time,
+/// then asks the reporting node. Where the source answers one of seven nodes 1.6 s late, that node
+/// learns of the second of two consecutive changes in under 2 s; without asking it took 2.9 s
+/// (virtual clock, maximum of four runs).
 const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// Of many nodes a copy that is older than this share of what is allowed is late: two watches, three
-/// questions and their answers together stay below. A reader of twelve nodes that the source answers 3 s
-/// late asks another one then, and knows of changes in under 2 s; without asking it had not heard of
-/// two in a row after 20 s (virtual clock, longest of four plays).
+/// In a large deployment a replica older than this share of the propagation limit is late: two
+/// watches, three questions and their answers together take less. A reader among twelve nodes that
+/// the source answers 3 s late then asks another node and learns of changes in under 2 s; without
+/// asking it had missed two consecutive changes after 20 s (virtual clock, maximum of four runs).
 const LATE_REPLICA_SHARE: f64 = 0.5;
-/// So much newer another node's proof must be to be worth a question.
+/// Minimum lead of another node's confirmation over this node's to justify a question.
 const MIN_FRESHNESS_LEAD: Duration = Duration::from_millis(200);
-/// The source tells what it is asked within milliseconds, and within some hundred when it is slow. A
-/// node that it has not told in this time takes what other nodes have: it starts within 2 s where the
-/// source answers all others, and did not within 20 s without (virtual clock, 2 to 12 nodes).
+/// The source answers within milliseconds, or some hundred when it is slow. A node that has had no
+/// answer for this time uses what other nodes have. It then starts within 2 s where the source
+/// answers all other nodes; without this it did not start within 20 s (virtual clock, 2 to 12
+/// nodes).
 pub(super) const SOURCE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A list of more engines is not handed on: it would fill a datagram.
+/// Maximum number of engines of a list in an answer; a longer one would exceed a datagram.
 const MAX_LISTED_ENGINES: usize = 128;
-/// A reader whose copies are older than this share of what is allowed is no good.
+/// A reader whose replicas are older than this share of the propagation limit is not asked again
+/// soon.
 const STALE_READER_SHARE: f64 = 0.65;
 
 /// How a node keeps up with the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceRole {
-    /// It watches the source for itself, as every node of a small deployment does.
+    /// Watches the source for itself, as every node of a small deployment does.
     Watcher,
-    /// It watches the source for the nodes that rely on it.
+    /// Watches the source on behalf of the nodes that follow it.
     Reader,
-    /// It asks another node, and the source only when that does not help.
+    /// Asks another node, and the source only when that does not help.
     Follower,
 }
 
@@ -60,7 +64,7 @@
         }
         let is_newcomer = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
         let has_parent = is_newcomer || self.parent(&state, now).is_some();
-        // Nodes that ask this one out of turn could not rely on its parent.
+        // Nodes that ask this one although it is not their reader could not rely on its parent.
         let is_stand_in = state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
         match has_parent && !is_stand_in && !state.is_order_candidate {
             true => SourceRole::Follower,
@@ -68,15 +72,16 @@
         }
     }
 
-    /// Whether this node reads for its zone what a node of another zone tells it.
+    /// Whether this node is the reader of its zone in a large deployment.
     pub fn is_zone_reader(&self) -> bool {
         let now = self.clock().now();
         let state = self.state();
         state.peers.is_large() && self.reader(&state, now).is_none()
     }
 
-    /// Whether this node asks another one twice as often: it reads for its zone, is one of few and asks only while
-    /// it is behind, or stands in a wide zone, where what it is told has passed through one node more.
+    /// Whether this node sends questions twice as often: as the reader of its zone, as a node of a
+    /// small deployment, which asks only while it is behind, or in a wide zone, where answers have
+    /// passed through one more node.
     pub fn asks_often(&self) -> bool {
         let is_few_or_many = {
             let state = self.state();
@@ -85,7 +90,7 @@
         is_few_or_many || self.is_zone_reader()
     }
 
-    /// The next question, and where to send it; `None` while this node does not rely on another.
+    /// The next question and its receiver; `None` while this node follows no other.
     pub fn next_question(&self) -> Option<(SocketAddr, Question)> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -105,8 +110,8 @@
         Some((address, question))
     }
 
-    /// The node that this one catches up with: in a large deployment its reader; one of few nodes, or a
-    /// reader itself, asks one that knows what it lacks.
+    /// The node that this one catches up with. In a large deployment that is its parent; nodes of a
+    /// small deployment, and nodes without a parent, ask one that is known to be ahead.
     fn sync_target(&self, state: &GatewayState, now: Timestamp) -> Option<(NodeName, SocketAddr)> {
         let better = match self.is_lagging(state, now) {
             true => state.peer_ahead.as_ref(),
@@ -120,8 +125,9 @@
         }
     }
 
-    /// Whether the source tells this node later than others: few nodes prove their copies to each other,
-    /// and of many every copy is proven within the time that readers need.
+    /// Whether the source reports changes to this node later than to others. In a small deployment
+    /// nodes confirm each other's replicas; in a large one every replica is confirmed within the
+    /// time that readers need.
     fn is_lagging(&self, state: &GatewayState, now: Timestamp) -> bool {
         if self.wants_list(state, now) {
             return true;
@@ -136,15 +142,15 @@
         known_at.is_some_and(|at| now.since(at) >= self.late_replica_age())
     }
 
-    /// A copy of this age came late, or was not brought up to date in time.
+    /// Age from which a replica counts as late.
     pub(super) fn late_replica_age(&self) -> Duration {
         self.settings()
             .propagation_limit
             .mul_f64(LATE_REPLICA_SHARE)
     }
 
-    /// Of many nodes one that tells of a newer proof is asked by a reader that the source tells late; the
-    /// others leave such a reader by themselves.
+    /// In a large deployment, lets a node whose own replica is late ask another one whose replica
+    /// was confirmed more recently. Nodes that are not late ignore such reports.
     pub(super) fn note_better_informed_peer(
         &self,
         state: &mut GatewayState,
@@ -208,8 +214,8 @@
         }
     }
 
-    /// Whether this node saw every version come that was named after `revision`; what was there
-    /// when it started it can only date by assumption, which must not spread.
+    /// Whether this node has seen the publication of every version after `revision`. It can only
+    /// assume the age of versions that were there when it started, and assumptions must not spread.
     fn knows_weights_after(&self, state: &GatewayState, revision: Option<u64>) -> bool {
         let begin = state.weights_seen_after;
         begin.is_some() && revision >= begin
@@ -229,8 +235,8 @@
         Some((caught_up.revision, changes))
     }
 
-    /// Whether the source has told this node no list of engines, or no changes of it, for longer than it
-    /// takes.
+    /// Whether the source has answered with no engine list, or with no changes of it, for longer
+    /// than it normally takes.
     pub(super) fn wants_list(&self, state: &GatewayState, now: Timestamp) -> bool {
         let replica = state.replicas.of(ItemKind::Engines);
         match replica.revision {
@@ -239,9 +245,10 @@
         }
     }
 
-    /// Takes the answer of a reader; tells whether it brought some of what this node lacks, so that the rest is to be
-    /// asked for at once. While a fleet starts more changes than one answer holds between two questions, and a copy that
-    /// is never complete is never proven: each node then asked the source for them.
+    /// Applies a reader's answer. Returns whether it contained only part of what this node lacks,
+    /// so that the rest should be asked for at once. While many engines start, more changes arrive
+    /// between two questions than one answer holds. A replica that is never complete is never
+    /// confirmed, and without this each node then asked the source.
     pub fn take_answer(&self, answer: Answer) -> bool {
         let Some((reader, asked_at)) = self.state_mut().sync.close(answer.number) else {
             return false;
@@ -275,7 +282,7 @@
             let now = self.clock().now();
             let mut state = self.state_mut();
             let replica = state.replicas.of_mut(ItemKind::Engines);
-            // Before its first list a node has nothing that could be behind.
+            // A node without a list has nothing yet that could be behind.
             if replica.revision.is_some() && replica.revision < Some(mark.position) {
                 replica.note_behind(now);
             }
@@ -301,7 +308,7 @@
         if replica.revision.is_some() {
             let revision = replica.revision.max(Some(mark.position));
             replica.advance(revision.unwrap_or(mark.position), now);
-            // Whether the versions that were told are all that changed is not known here.
+            // It is not known whether the reported versions are the only changes.
             replica.changed_until = replica.changed_until.max(Some(mark.position));
         }
         drop(state);
@@ -324,7 +331,8 @@
         replica.freshness.confirm(confirmed_time(asked_at, mark));
     }
 
-    /// The copy was current when the reader's was, if it has come as far.
+    /// Confirms the replica as of the time when the reader's was confirmed, provided it has the
+    /// same changes.
     fn apply_mark(&self, kind: ItemKind, mark: Mark, asked_at: Timestamp) {
         let mut state = self.state_mut();
         let replica = state.replicas.of_mut(kind);
@@ -337,9 +345,9 @@
         }
     }
 
-    /// A reader that knows nothing recent itself is not asked again soon. One that has nothing yet is no worse than this
-    /// node, as long as it has nothing either: where all start before there is a configuration, each would otherwise
-    /// leave all readers and read for itself.
+    /// Avoids a reader for a while if it has nothing recent itself. A reader that has nothing at
+    /// all is tolerated as long as this node has nothing either: where all nodes start before there
+    /// is a configuration, each would otherwise reject every reader and read the source for itself.
     fn judge_reader(&self, reader: &NodeName, answer: &Answer) {
         let now = self.clock().now();
         let limit = self
@@ -363,7 +371,7 @@
     }
 }
 
-/// The list of engines, if it is whole and fits a datagram.
+/// The engine list, if it is complete and fits a datagram; otherwise empty.
 fn complete_list(state: &GatewayState) -> Vec<EngineEntry> {
     let is_listed = |engine: &&Engine| !engine.is_unlisted;
     let listed = state.engines.iter().filter(is_listed);
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! Holding tenants to their limits; see docs/design/tenant-limits.md.
+//! Enforces the limits of tenants; see docs/design/tenant-limits.md.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -14,14 +14,15 @@
 use crate::request::{Refusal, RefusalReason};
 use crate::serve::AcceptedRequest;
 
-/// A node that has heard nobody for so long does not know what the others admit: between two and
-/// three heartbeats.
+/// A node that has received nothing from other nodes for this time does not know what they admit.
+/// Between two and three heartbeats.
 const UNINFORMED_TIMEOUT: Duration = Duration::from_millis(800);
-/// A node that was just started has heard of all zones after so long.
+/// Uptime after which a node has heard from all zones.
 const MIN_INFORMED_UPTIME: Duration = Duration::from_millis(1_500);
-/// Nodes that a node takes to be there while it has heard of nobody, though there may be others.
+/// Minimum number of nodes assumed while a node has heard from no other, though others may exist.
 const ASSUMED_NODES_WHILE_ALONE: usize = 16;
-/// Silent nodes may admit requests for so long, when no proof that their keys are current ends that.
+/// How long silent nodes may go on admitting requests where no maximum age of the configuration's
+/// confirmation ends that.
 const SILENT_NODE_ADMISSION_TIME: Duration = Duration::from_secs(30);
 
 impl Gateway {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A request that was admitted runs once more.
+    /// Charges an admitted request that is sent once more.
     pub(crate) fn charge_again(&self, request: &AcceptedRequest) {
         if let Some((tenant, limit, amount)) = limit_usage(request) {
             let now = self.clock().now();
@@ -66,7 +67,7 @@
         }
     }
 
-    /// A request that was admitted has not run.
+    /// Refunds an admitted request that has not run.
     pub(crate) fn refund(&self, request: &AcceptedRequest) {
         if let Some((tenant, limit, amount)) = limit_usage(request) {
             let now = self.clock().now();
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Sums up what the other nodes told of tenants.
+    /// Recomputes the usage of tenants from the reports of other nodes.
     pub fn refresh_quotas(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -91,7 +92,7 @@
         state.quotas.refresh(peers, usages, limited, now);
     }
 
-    /// Logs the tenants that come near their limits.
+    /// Logs the tenants that are close to their limits.
     pub(crate) fn log_tenants_near_limits(&self) {
         let now = self.clock().now();
         let state = self.state();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The nodes that a limit over all of them is held with.
+    /// The nodes that share a limit.
     pub(super) fn limit_peers(&self, state: &GatewayState, now: Timestamp) -> Peers {
         let nodes = state.peers.known_count() + 1;
         let last_heard = state.peers.last_heard_at();
@@ -121,13 +122,13 @@
         }
     }
 
-    /// Nodes that are not heard and may still admit requests. Those of other zones are missed sooner
-    /// by their own.
+    /// Number of nodes that are silent and may still admit requests. Silent nodes of other zones
+    /// are counted by their own zones, which notice the silence sooner.
     pub(super) fn silent_nodes(&self, state: &GatewayState, now: Timestamp) -> usize {
         self.silent_nodes_within(state, self.silent_node_admission_time(), now)
     }
 
-    /// Nodes that are not heard, but were within this time as far as this zone's are concerned.
+    /// Number of silent nodes; those of this zone count if they were heard from within this time.
     pub(super) fn silent_nodes_within(
         &self,
         state: &GatewayState,
@@ -139,13 +140,13 @@
         missed.max(near + state.zone_traffic.silent_count(now))
     }
 
-    /// Nodes that are cut off admit requests for so long.
+    /// How long isolated nodes may go on admitting requests.
     pub(super) fn silent_node_admission_time(&self) -> Duration {
         let unproven = self.settings().max_unconfirmed_age;
         unproven.unwrap_or(SILENT_NODE_ADMISSION_TIME)
     }
 
-    /// What tenants use at the nodes of this zone, for the others.
+    /// Usage of tenants summed over the nodes of this zone, for the other zones.
     pub(super) fn usages_of_zone(&self, state: &GatewayState, now: Timestamp) -> Vec<UsageNews> {
         let mut sums: BTreeMap<TenantKey, Usage> = BTreeMap::new();
         let own = state.quotas.news(now);
@@ -169,7 +170,7 @@
     sums
 }
 
-/// Whose limit a request uses, and how much of it.
+/// The tenant whose limit a request uses, that limit, and the amount.
 fn limit_usage(request: &AcceptedRequest) -> Option<(&TenantName, Limit, f64)> {
     let tenant = request.tenant.as_ref()?;
     let rate_limit = tenant.rate_limit.as_ref()?;
@@ -177,7 +178,7 @@
     Some((&tenant.name, rate_limit.limit, amount))
 }
 
-/// A number from 0 to 1 that is spread evenly over requests.
+/// A number from 0 to 1, evenly distributed over requests.
 fn draw_of(request_id: &str) -> f64 {
     xxh3_64(request_id.as_bytes()) as f64 / u64::MAX as f64
 }
--- a/crates/gateway/src/gateway/update_queue.rs
+++ b/crates/gateway/src/gateway/update_queue.rs
@@ -1,8 +1,9 @@
-//! News that wait to be taken to other nodes.
+//! Selection of queued updates for a message to other nodes.
 
 use std::collections::BTreeMap;
 
-/// Takes at most `max` of the news that wait, each to be taken `transmissions` times less from now on.
+/// Takes at most `max` keys from the queue and lowers the remaining transmissions of each by
+/// `transmissions`; keys with none left are removed.
 pub(super) fn take_pending<K: Ord + Clone>(
     waiting: &mut BTreeMap<K, u32>,
     max: usize,
@@ -18,7 +19,7 @@
     taken
 }
 
-/// At most `max` of all, others with each turn.
+/// At most `max` elements of `all`; successive values of `turn` select successive parts.
 pub(super) fn rotating_part<K: Clone>(all: &[K], max: usize, turn: usize) -> Vec<K> {
     let parts = all.len().div_ceil(max).max(1);
     let of_turn = all.chunks(max).nth(turn % parts);
--- a/crates/gateway/src/gateway/zone_relay.rs
+++ b/crates/gateway/src/gateway/zone_relay.rs
@@ -1,4 +1,4 @@
-//! News between zones, in a large deployment; see docs/design/reading.md.
+//! Exchanges updates between the zones of a large deployment; see docs/design/reading.md.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -13,20 +13,21 @@
 };
 use crate::places::{Area, Distance};
 
-/// Most prefixes that one message tells of.
+/// Maximum number of prefixes in one update.
 const MAX_HOLDERS_PER_UPDATE: usize = 128;
-/// Nodes of each other zone that news are sent to which nobody should miss.
+/// Number of nodes of each other zone that an urgent update is sent to, so that a single lost
+/// datagram or node does not stop it.
 const URGENT_RELAYS: usize = 2;
 
-/// Nodes of each other region that take turns to pass news on there.
+/// Number of nodes of each other region that relay updates there in rotation.
 const ROTATING_REMOTE_RELAYS: usize = 2;
 
-/// News, and the nodes that they are to be sent to.
+/// An update and the addresses to send it to.
 pub type AddressedZoneUpdate = (ZoneUpdate, Vec<SocketAddr>);
 
 impl Gateway {
-    /// The news of this node's zone for the other zones; `None` while another node of the zone
-    /// sends them, or there is nothing to tell.
+    /// The next update of this node's zone for the other zones; `None` while another node of the
+    /// zone sends them, or when there is nothing to report.
     pub fn next_zone_update(&self, with_loads: bool) -> Option<AddressedZoneUpdate> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -34,7 +35,8 @@
             state.zone_updates.clear();
             return None;
         }
-        // Each message goes to all nodes of a zone.
+        // In a wide zone each message is forwarded to all of its nodes, so updates are sent only
+        // with the loads.
         if state.peers.is_wide() && !with_loads {
             return None;
         }
@@ -75,8 +77,9 @@
         Some((update, relays))
     }
 
-    /// The work of all nodes of this zone and the prefixes that wait to be told, for the nodes of a wide zone;
-    /// nothing while another node reads for it. The news for other zones follow, and take the prefixes out.
+    /// The total load at engines of this zone's nodes and the queued prefixes, for the nodes of a
+    /// wide zone; empty while another node is the zone's reader. The update for other zones is
+    /// built afterwards and removes the prefixes from the queue.
     pub fn next_own_zone_updates(&self) -> Vec<AddressedZoneUpdate> {
         let now = self.clock().now();
         let state = self.state();
@@ -95,8 +98,8 @@
         self.updates_for_zone(&state, &update, now)
     }
 
-    /// News of loads, of stages of releases, of requests that end engines and of what engines say of themselves that every
-    /// node needs at once, for the own zone and for all others.
+    /// Updates that every node of this zone and of all others needs at once: weight loads, stages
+    /// of releases, requests that crash engines, and signals of engines.
     pub fn next_urgent_updates(&self) -> Vec<AddressedZoneUpdate> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -139,8 +142,8 @@
         }
     }
 
-    /// The nodes that pass news on: in each other zone of the own region, and in each other region,
-    /// the first of those that serve.
+    /// The nodes that relay updates: the first ready ones in reading order, in each other zone of
+    /// this region and in each other region.
     fn relays(&self, state: &GatewayState, max: usize, now: Timestamp) -> Vec<SocketAddr> {
         let own = &self.settings().identity.zone;
         let places = &self.settings().places;
@@ -162,8 +165,9 @@
                 of_place.push(*peer_address);
             }
         }
-        // They take turns: one that is lost, or can't reach the others of its region, leaves gaps of
-        // two messages until it is missed, which is less than news may be late.
+        // Relays of other regions take turns: one that is lost, or can't reach the others of its
+        // region, causes gaps of two messages until its failure is noticed, which is less than the
+        // delay that updates may have.
         for relays in remote.values_mut() {
             let turn = state.relay_rotation % relays.len();
             relays.rotate_left(turn);
@@ -175,7 +179,7 @@
             .collect()
     }
 
-    /// News of another region for the other zones of the own one.
+    /// An update from another region, addressed to the other zones of this one.
     fn update_for_region(
         &self,
         state: &GatewayState,
@@ -207,8 +211,9 @@
         (update, relays.into_values().flatten().collect())
     }
 
-    /// News for all other nodes of the own zone, in two steps: to about as many nodes as each of
-    /// them then passes them on to, so that no link carries them to all.
+    /// An update for all other nodes of this zone, in two steps: to the heads of groups, each of
+    /// which forwards it to its group. There are about as many groups as nodes in each, so that no
+    /// single link carries the update to all nodes.
     fn updates_for_zone(
         &self,
         state: &GatewayState,
@@ -231,8 +236,8 @@
                 pass: Pass::Until(next),
                 ..update.clone()
             };
-            // A silent node may pass nothing on, so the group's next one has to. Urgent news can't
-            // wait until it is known to be silent.
+            // A silent node may forward nothing, so the next node of the group has to. Urgent
+            // updates can't wait until the silence is noticed.
             let first_alive = group.iter().position(|near| alive.contains(&near.name));
             let has_spare = is_urgent && (is_own || index == 0);
             let heads = first_alive.unwrap_or_default() + 1 + usize::from(has_spare);
@@ -242,9 +247,10 @@
         updates.collect()
     }
 
-    /// Two nodes of a zone pass urgent news on. The groups of every other node by name are shifted by
-    /// half a group: whoever has just been lost heads a group of one of the two at most, but for the
-    /// first, where these two are and which therefore has a spare head.
+    /// Groups for forwarding an urgent update. Two nodes of the zone forward it; nodes at odd
+    /// positions by name shift their groups by half a group. A node that has just been lost then
+    /// heads a group of at most one of the two. The exception is the first group, which the two
+    /// nodes belong to and which therefore has a spare head.
     fn urgent_update_groups<'a>(
         &self,
         near: &'a [&'a NodeIdentity],
@@ -261,7 +267,7 @@
         groups.filter(|group| !group.is_empty()).collect()
     }
 
-    /// News for the nodes of the own zone after this one by name, before `until`.
+    /// An update for the nodes of this zone that come after this one by name, up to `until`.
     fn update_until(
         &self,
         state: &GatewayState,
@@ -303,7 +309,7 @@
             .collect()
     }
 
-    /// Takes zone news; tells to whom they are to be passed on.
+    /// Applies an update from another node; returns the updates to forward.
     pub fn receive_zone_update(&self, update: &ZoneUpdate) -> Vec<AddressedZoneUpdate> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -351,8 +357,9 @@
         self.settings().places.between(own, &update.zone) == Distance::Remote
     }
 
-    /// The work of other nodes at engines has changed. With many nodes that happens many times a
-    /// second, and the sums are over all engines, so they then wait for the next tick.
+    /// Records that the loads of other nodes at engines have changed. With many nodes that happens
+    /// many times a second and the sums cover all engines, so in a large deployment they are
+    /// recomputed at the next tick.
     pub(super) fn note_foreign_loads(&self, state: &mut GatewayState, now: Timestamp) {
         state.foreign_loads_changed = true;
         if !state.peers.is_large() {
@@ -360,7 +367,7 @@
         }
     }
 
-    /// Sums up the work of all other nodes at engines, if it has changed.
+    /// Sums up the loads of all other nodes at engines, if they have changed.
     pub fn refresh_foreign_loads(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -369,8 +376,8 @@
         }
     }
 
-    /// Sums up the work of all other nodes. In a wide zone that of its nodes comes from the one that reads for it,
-    /// which hears them all.
+    /// Sums up the loads of all other nodes at engines. In a wide zone the sums for its own nodes
+    /// come from its reader, which receives messages from all of them.
     fn sum_foreign_loads(&self, state: &mut GatewayState, now: Timestamp) {
         let own_zone = &self.settings().identity.zone;
         let reader_sums_loads = state.peers.is_wide() && self.reader(state, now).is_some();
@@ -392,15 +399,15 @@
         state.foreign_loads_changed = false;
     }
 
-    /// A prefix that a node of this zone tells of goes on to the other zones.
+    /// Queues a prefix reported by a node of this zone, for the other zones.
     pub(super) fn queue_zone_update(&self, state: &mut GatewayState, update: HolderUpdate) {
         if state.peers.is_large() && state.zone_updates.len() < MAX_HOLDERS_PER_UPDATE * 8 {
             state.zone_updates.push(update);
         }
     }
 
-    /// News of a load for every node: through zones in a large deployment, in the next message to
-    /// all in a small one.
+    /// Sends an update of a weight load to every node: through zones in a large deployment, in the
+    /// next message to all nodes in a small one.
     pub(super) fn send_load_update(&self, state: &mut GatewayState, update: WeightsUpdate) {
         match state.peers.is_large() {
             true => state.load_updates.push(update),
@@ -410,15 +417,15 @@
     }
 }
 
-/// The nodes that serve, in the order in which they read for a zone.
+/// The ready nodes in the order in which they become readers of a zone.
 fn by_reading_rank(state: &GatewayState, now: Timestamp) -> Vec<&Peer> {
     let mut ready: Vec<_> = state.peers.ready(now).collect();
     ready.sort_unstable_by_key(|peer| peer.identity.reading_rank());
     ready
 }
 
-/// Whether these are urgent news, which no node should miss. Regular news tell of releases too, but always
-/// with the work at engines; urgent news come without it.
+/// Whether an update is urgent, so that no node should miss it. Regular updates carry releases too,
+/// but always together with loads; urgent ones carry no loads.
 fn is_urgent(update: &ZoneUpdate) -> bool {
     let has_urgent_content = !update.weights.is_empty()
         || !update.releases.is_empty()
@@ -427,12 +434,12 @@
     update.loads.is_none() && has_urgent_content
 }
 
-/// Nodes of a group, such that there are about as many groups as nodes in each.
+/// Number of nodes in a group such that there are about as many groups as nodes in each.
 fn group_length(near: &[&NodeIdentity]) -> usize {
     (near.len() as f64).sqrt().ceil().max(1.0) as usize
 }
 
-/// The sums of a zone hold this node's work too.
+/// Subtracts this node's own loads, which the sums of its zone include.
 fn subtract_own(loads: &mut HashMap<BackEndName, EngineLoad>, engines: &EngineTable) {
     for (name, load) in loads {
         if let Some(engine) = engines.get(name) {
