--- a/crates/gateway/src/source/follower.rs
+++ b/crates/gateway/src/source/follower.rs
@@ -276,9 +276,7 @@
                 }
                 Role::Follower => return Duration::ZERO,
                 // After a failure the answer is wanted at once: it tells that nothing was missed.
-                Role::Watcher | Role::Reader if self.failures > 0 => {
-                    return Duration::ZERO;
-                }
+                Role::Watcher | Role::Reader if self.failures > 0 => return Duration::ZERO,
                 // A long watch of each node of a fleet that starts would be left within moments.
                 Role::Watcher if self.uptime() < SIZE_KNOWN_AFTER => {
                     self.gateway.clock().look(LOOK_INTERVAL).await
--- a/crates/testbed/src/demo/stream_text.rs
+++ b/crates/testbed/src/demo/stream_text.rs
@@ -60,7 +60,7 @@
             return;
         }
         self.take_index(field("id: "));
-        self.take_configuration_chunk(&chunk);
+        self.take_chunk(&chunk);
     }
 
     fn take_index(&mut self, index: Option<&str>) {
@@ -72,7 +72,7 @@
         self.next_index += 1;
     }
 
-    fn take_configuration_chunk(&mut self, chunk: &Value) {
+    fn take_chunk(&mut self, chunk: &Value) {
         let choice = &chunk["choices"][0];
         let text = choice["delta"]["content"].as_str();
         let text = text.or_else(|| choice["text"].as_str());
