--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -39,7 +39,7 @@
     }
     configure(&gateway, model_table(Vec::new()));
     let now = gateway.clock().now();
-    gateway.take_list(ItemKind::Engines, list(count), 200, now);
+    gateway.apply_list(ItemKind::Engines, list(count), 200, now);
     gateway
 }
 
@@ -88,7 +88,7 @@
             bencher.iter(|| {
                 revision += 1;
                 let now = gateway.clock().now();
-                gateway.take_list(ItemKind::Engines, list(count), revision, now);
+                gateway.apply_list(ItemKind::Engines, list(count), revision, now);
             });
         });
     }
@@ -104,7 +104,7 @@
             version: 1,
         };
         let now = gateway.clock().now();
-        gateway.take_list(ItemKind::Weights, vec![Item::Weights(named)], 200, now);
+        gateway.apply_list(ItemKind::Weights, vec![Item::Weights(named)], 200, now);
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| gateway.has_outdated_engines());
         });
--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -119,7 +119,7 @@
 
     /// Time until one of the excluded engines of a pool may be sent a request again; `None` while
     /// any engine takes requests, or when no such time is known.
-    pub fn next_opening(&self, pool: &PoolName) -> Option<Duration> {
+    pub fn shortest_exclusion(&self, pool: &PoolName) -> Option<Duration> {
         let now = self.clock().now();
         let state = self.state();
         if state
@@ -129,18 +129,19 @@
         {
             return None;
         }
-        let bars = bars_of(&state, pool, now);
-        let openings = bars.filter_map(|bar| bar.until);
-        Some(openings.min()?.since(now))
+        let exclusions = exclusions_of(&state, pool, now);
+        let until = exclusions.filter_map(|exclusion| exclusion.until);
+        Some(until.min()?.since(now))
     }
 
     /// Numbers of excluded engines of a pool by reason, as text; `None` when none is excluded.
-    pub(crate) fn barred_engines(&self, pool: &PoolName) -> Option<String> {
+    pub(crate) fn excluded_engines(&self, pool: &PoolName) -> Option<String> {
         let now = self.clock().now();
         let state = self.state();
         let counts = [BarReason::Leaving, BarReason::Resting, BarReason::Limited].map(|reason| {
-            let bars = bars_of(&state, pool, now).filter(|bar| bar.reason == reason);
-            (reason, bars.count())
+            let exclusions =
+                exclusions_of(&state, pool, now).filter(|exclusion| exclusion.reason == reason);
+            (reason, exclusions.count())
         });
         let excluded = counts.iter().filter(|(_, count)| *count > 0);
         let excluded: Vec<_> = excluded
@@ -162,12 +163,12 @@
             .limited_engines
             .iter()
             .filter(|name| Some(*name) > last.as_ref());
-        let turn: Vec<_> = later.take(MAX_REFRESHED_LIMITS).cloned().collect();
-        for name in &turn {
+        let batch: Vec<_> = later.take(MAX_REFRESHED_LIMITS).cloned().collect();
+        for name in &batch {
             self.refresh_engine(&mut state, name, now);
         }
-        state.last_refreshed_limit = (turn.len() == MAX_REFRESHED_LIMITS)
-            .then(|| turn.last().cloned())
+        state.last_refreshed_limit = (batch.len() == MAX_REFRESHED_LIMITS)
+            .then(|| batch.last().cloned())
             .flatten();
     }
 
@@ -295,7 +296,7 @@
     }
 
     /// Applies updates received from another node.
-    pub(super) fn take_signal_updates(
+    pub(super) fn apply_signal_updates(
         &self,
         state: &mut GatewayState,
         updates: &[SignalUpdate],
@@ -327,14 +328,14 @@
     }
 }
 
-fn bars_of<'a>(
+fn exclusions_of<'a>(
     state: &'a GatewayState,
     pool: &PoolName,
     now: Timestamp,
 ) -> impl Iterator<Item = Bar> + use<'a> {
     let engines: Vec<_> = state.engines.of_pool(pool).collect();
-    let bars = engines.into_iter();
-    bars.filter_map(move |engine| engine.condition.bar(now))
+    let exclusions = engines.into_iter();
+    exclusions.filter_map(move |engine| engine.condition.bar(now))
 }
 
 /// The part of the engines with known signals that this full update carries; each carries another.
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -64,7 +64,7 @@
     /// Applies changes of an engine's cache. The first batch is its whole content, all of which is
     /// new to a node that has just started; later batches count only for prefixes that some request
     /// has shared.
-    pub fn take_cache_changes(
+    pub fn apply_cache_changes(
         &self,
         engine: &BackEndName,
         changes: &[CacheChange],
--- a/crates/gateway/src/gateway/cache_knowledge.rs
+++ b/crates/gateway/src/gateway/cache_knowledge.rs
@@ -21,14 +21,14 @@
 
 impl Gateway {
     /// Records the start delay of a request: its prefill was done `after` this time.
-    pub fn note_begin(&self, pool: &PoolName, after: Duration) {
+    pub fn note_request_start(&self, pool: &PoolName, after: Duration) {
         let now = self.clock().now();
         self.state_mut().begin_times.note(pool, after, now);
     }
 
     /// Records that an engine has done the prefill of a request, so that others may fetch the
     /// cached parts.
-    pub fn note_prompt_read(&self, placement: &Placement) {
+    pub fn note_prefill_done(&self, placement: &Placement) {
         let now = self.clock().now();
         let is_kept = self.is_same_incarnation(placement);
         let mut state = self.state_mut();
--- a/crates/gateway/src/gateway/caller_ring.rs
+++ b/crates/gateway/src/gateway/caller_ring.rs
@@ -66,7 +66,7 @@
 
 impl CallerLocation<'_> {
     /// Whether a node in `zone` belongs to the given ring around the caller.
-    fn has_in(&self, ring: CallerRing, zone: &ZoneName, places: &Places) -> bool {
+    fn ring_contains(&self, ring: CallerRing, zone: &ZoneName, places: &Places) -> bool {
         match (ring, self.region) {
             (CallerRing::Zone, _) => zone == self.zone,
             (CallerRing::Region, Some(region)) if !places.knows(self.zone) => {
@@ -90,7 +90,7 @@
         for ring in [Self::Zone, Self::Region] {
             let known = || {
                 let nodes = nodes.iter().copied();
-                nodes.filter(|node| place.has_in(ring, node.zone, places))
+                nodes.filter(|node| place.ring_contains(ring, node.zone, places))
             };
             let ready: Vec<_> = known().filter(|node| node.is_ready).collect();
             let left: f64 = ready.iter().map(|node| node.capacity.weight()).sum();
--- a/crates/gateway/src/gateway/configuration_handover.rs
+++ b/crates/gateway/src/gateway/configuration_handover.rs
@@ -48,7 +48,7 @@
     }
 
     /// Applies a chunk; returns the next one to request.
-    pub fn take_configuration_chunk(&self, chunk: Chunk) -> Option<(SocketAddr, Fetch)> {
+    pub fn apply_configuration_chunk(&self, chunk: Chunk) -> Option<(SocketAddr, Fetch)> {
         let version = chunk.version;
         let mut state = self.state_mut();
         let own = state.table.as_ref().map(|table| table.version());
@@ -66,7 +66,7 @@
                 info!(self.log(), "configuration_handed_over"; "version" => version,
                     "before" => own, "bytes" => text.len());
                 self.adopt_table(Rc::new(table));
-                self.become_ready();
+                self.update_readiness();
             }
             Err(error) => warn!(self.log(), "configuration_handed_over_unreadable";
                 "version" => version, "error" => %error),
--- a/crates/gateway/src/gateway/engine_incarnations.rs
+++ b/crates/gateway/src/gateway/engine_incarnations.rs
@@ -30,7 +30,7 @@
 
     /// Compares the incarnation in an entry with the known one. A restarted engine has lost its
     /// cache and its state, so everything known of it is dropped.
-    pub(super) fn take_incarnation(
+    pub(super) fn apply_incarnation(
         &self,
         state: &mut GatewayState,
         entry: &EngineEntry,
@@ -39,14 +39,14 @@
         let name = &entry.name;
         let known = match state.engines.get(name) {
             Some(engine) => engine.entry.incarnation,
-            None => state.lives.of_gone(name, now),
+            None => state.incarnations.of_gone(name, now),
         };
         let relation = ToldLife::new(known, entry.incarnation);
         match (relation, entry.incarnation) {
             (ToldLife::Later, Some(incarnation)) => {
                 info!(self.log(), "engine_began_again"; "engine" => %name,
                     "incarnation" => incarnation.0, "before" => known.map(|known| known.0));
-                state.lives.note_begun(name, incarnation, now);
+                state.incarnations.note_begun(name, incarnation, now);
                 state.forget_incarnation(name);
                 self.upstream().forget(name);
             }
@@ -60,19 +60,23 @@
 
     /// Compares the incarnation in an engine's report with the known one. A report of a newer
     /// incarnation is applied as an entry, since it may arrive before the engine list has it.
-    pub fn take_report_incarnation(&self, engine: &BackEndName, report: &EngineReport) -> ToldLife {
+    pub fn apply_report_incarnation(
+        &self,
+        engine: &BackEndName,
+        report: &EngineReport,
+    ) -> ToldLife {
         let relation = ToldLife::new(self.incarnation_of(engine), report.incarnation);
         match relation {
             ToldLife::Same => {}
             ToldLife::Former => {
                 info!(self.log(), "former_life_reported"; "engine" => %engine);
             }
-            ToldLife::Later => self.take_reported_incarnation(engine, report),
+            ToldLife::Later => self.apply_reported_incarnation(engine, report),
         }
         relation
     }
 
-    fn take_reported_incarnation(&self, engine: &BackEndName, report: &EngineReport) {
+    fn apply_reported_incarnation(&self, engine: &BackEndName, report: &EngineReport) {
         let state = self.state();
         let Some(known) = state.engines.get(engine) else {
             return;
@@ -85,7 +89,7 @@
         };
         let is_unlisted = known.is_unlisted;
         drop(state);
-        self.take_engine_entry(entry);
+        self.apply_engine_entry(entry);
         // A report does not replace an entry: an engine without one is removed eventually.
         let mut state = self.state_mut();
         if let Some(engine) = state.engines.get_mut(engine) {
@@ -127,7 +131,7 @@
                 let known = known.and_then(|known| known.entry.incarnation);
                 ToldLife::new(known, Some(*reported)) != ToldLife::Same
             }
-            None => self.lives.may_be_late(engine, now),
+            None => self.incarnations.may_be_late(engine, now),
         }
     }
 
@@ -150,7 +154,7 @@
         now: Timestamp,
     ) -> Vec<EngineIncarnationUpdate> {
         // Usually no engine has restarted, and messages are sent many times a second.
-        if !self.lives.have_begun(now) {
+        if !self.incarnations.have_begun(now) {
             return Vec::new();
         }
         let held = holders.iter().copied().flatten().map(|update| &update.1);
@@ -158,7 +162,7 @@
         let ordered = weights.iter().map(|update| &update.engine);
         let named: BTreeSet<_> = held.chain(loaded).chain(ordered).collect();
         let lives = named.into_iter().filter_map(|engine| {
-            let incarnation = self.lives.to_tell(engine, now)?;
+            let incarnation = self.incarnations.to_tell(engine, now)?;
             Some(EngineIncarnationUpdate(engine.clone(), incarnation))
         });
         lives.collect()
--- a/crates/gateway/src/gateway/gateway_state.rs
+++ b/crates/gateway/src/gateway/gateway_state.rs
@@ -79,7 +79,7 @@
     /// Cached result of whether any engine has older weights than published.
     pub outdated_engines: OutdatedEngines,
     /// Incarnations of engines that restarted or were removed recently.
-    pub lives: KnownLives,
+    pub incarnations: KnownLives,
     /// Engines whose entries in the engine list can't be parsed; sent along when another node
     /// fetches the list.
     pub unusable_entries: BTreeSet<BackEndName>,
@@ -233,7 +233,7 @@
             engines: EngineTable::default(),
             has_unlisted_engines: false,
             outdated_engines: OutdatedEngines::default(),
-            lives: KnownLives::default(),
+            incarnations: KnownLives::default(),
             unusable_entries: BTreeSet::new(),
             begin_times: BeginTimes::default(),
             part_times: PartTimes::default(),
--- a/crates/gateway/src/gateway/list_handover.rs
+++ b/crates/gateway/src/gateway/list_handover.rs
@@ -65,7 +65,7 @@
     }
 
     /// Applies a piece; returns the next one to request.
-    pub fn take_list_piece(
+    pub fn apply_list_piece(
         &self,
         from: SocketAddr,
         piece: ListPiece,
@@ -79,8 +79,8 @@
         if known < Some(whole.revision) {
             info!(self.log(), "engine_list_handed_over"; "revision" => whole.revision,
                 "before" => known, "engines" => whole.entries.len(), "from" => %from);
-            self.take_peer_list(&whole.entries, &whole.unusable, whole.revision);
-            self.become_ready();
+            self.apply_peer_list(&whole.entries, &whole.unusable, whole.revision);
+            self.update_readiness();
         }
         None
     }
--- a/crates/gateway/src/gateway/peer_messages.rs
+++ b/crates/gateway/src/gateway/peer_messages.rs
@@ -127,27 +127,27 @@
     }
 
     /// Applies what another node reports of its configuration.
-    fn take_configuration_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
-        let Some(proof) = message.proof else {
+    fn apply_configuration_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
+        let Some(reported) = message.proof else {
             return;
         };
         let now = self.clock().now();
-        let age = Duration::from_millis(proof.age_ms);
+        let age = Duration::from_millis(reported.age_ms);
         // The datagram itself may be late; this only makes the node ask the source too early.
         let answered_at = now.before(age);
         self.note_better_informed_peer(state, &message.from, answered_at, now);
         state.source_answered_at = state.source_answered_at.max(Some(answered_at));
         let own_version = state.table.as_ref().map(|table| table.version());
-        if own_version < Some(proof.version) {
+        if own_version < Some(reported.version) {
             let replica = state.replicas.of_mut(ItemKind::Configuration);
             replica.note_behind(now);
             state.transfer.note_offer(Offer {
-                version: proof.version,
+                version: reported.version,
                 address: message.from.peer_address,
             });
         }
         let sent_at = self.echoed_message_sent_at(state, message);
-        if let Some(sent_at) = sent_at.filter(|_| own_version == Some(proof.version)) {
+        if let Some(sent_at) = sent_at.filter(|_| own_version == Some(reported.version)) {
             let replica = state.replicas.of_mut(ItemKind::Configuration);
             replica.freshness.confirm(sent_at.before(age));
         }
@@ -179,7 +179,7 @@
     }
 
     /// Applies versions of weights whose publication another node has seen.
-    pub(super) fn take_publications(&self, named: &[Publication]) {
+    pub(super) fn apply_publications(&self, named: &[Publication]) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         for update in named {
@@ -239,7 +239,7 @@
     }
 
     /// Updates the metric of live peers.
-    pub fn count_peers(&self) {
+    pub fn update_peer_count(&self) {
         let now = self.clock().now();
         let alive = self.state().peers.alive(now).count();
         self.metrics().peers.set(alive as i64);
@@ -303,8 +303,8 @@
         for HolderUpdate(key, engine) in &message.dropped {
             state.holders.forget(*key, engine);
         }
-        self.take_poison_news(&mut state, &message.poison, now);
-        self.take_signal_updates(&mut state, &message.signals, now);
+        self.apply_poison_updates(&mut state, &message.poison, now);
+        self.apply_signal_updates(&mut state, &message.signals, now);
         if is_newest {
             for update in &message.kv_stores {
                 self.apply_kv_store(&mut state, *update);
@@ -313,9 +313,9 @@
                 let asked_at = now.before(Duration::from_millis(age_ms));
                 state.steadiness.note(asked_at);
             }
-            self.take_configuration_freshness(&mut state, &message);
-            self.take_release_updates(&mut state, &message);
-            self.take_replica_freshness(&mut state, &message);
+            self.apply_configuration_freshness(&mut state, &message);
+            self.apply_release_updates(&mut state, &message);
+            self.apply_replica_freshness(&mut state, &message);
             if message.lease.is_some() {
                 state.received_lease = message.lease.clone();
             }
@@ -327,7 +327,7 @@
                 "state" => %message.state, "alive" => alive);
         }
         drop(state);
-        self.take_publications(&message.named);
+        self.apply_publications(&message.named);
         for update in &message.weights {
             self.apply_weights_update(update);
         }
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -73,12 +73,12 @@
         }
         let now = self.clock().now();
         let mut state = self.state_mut();
-        let lapse = self.crashed_entry_lifetime();
+        let lifetime = self.crashed_entry_lifetime();
         let engine = state.engines.get_mut(&placement.engine);
         let Some(engine) = engine.filter(|engine| engine.is_staying()) else {
             return;
         };
-        let ended_at = engine.ended_at().filter(|at| now.since(*at) < lapse);
+        let ended_at = engine.ended_at().filter(|at| now.since(*at) < lifetime);
         if ended_at.is_some_and(|at| at < began) {
             // The request was sent to an engine that had already crashed.
             return;
@@ -93,7 +93,7 @@
         };
         // An engine that crashed before this node started remains listed for this time, and the
         // node could not observe the crash.
-        let may_have_ended_before = self.uptime() < lapse && !engine.has_answered();
+        let may_have_ended_before = self.uptime() < lifetime && !engine.has_answered();
         crash.is_unproven = may_have_ended_before && crash.is_doubtful();
         let is_unproven = crash.is_unproven;
         drop(state);
@@ -158,7 +158,7 @@
     /// Removes crashes that the engine list refutes. A broken connection looks like a crash, but an
     /// engine that is still listed long after it, as when a link was cut, has gone on running.
     fn withdraw_refuted_crashes(&self, digest: Digest, now: Timestamp) {
-        let lapse = self.crashed_entry_lifetime();
+        let lifetime = self.crashed_entry_lifetime();
         let mut state = self.state_mut();
         let GatewayState {
             poison,
@@ -167,7 +167,7 @@
             poison_records,
             ..
         } = &mut *state;
-        if !steadiness.holds(lapse, now) {
+        if !steadiness.holds(lifetime, now) {
             return;
         }
         let has_survived = |crash: &Crash| {
@@ -176,7 +176,7 @@
             let is_same = listed.is_some_and(|engine| {
                 ToldLife::new(engine.entry.incarnation, crash.incarnation) == ToldLife::Same
             });
-            is_same && now.since(crash.ended) > lapse
+            is_same && now.since(crash.ended) > lifetime
         };
         let Some(history) = poison.get_mut(digest) else {
             return;
@@ -269,7 +269,7 @@
     }
 
     /// Applies updates received from another node.
-    pub(super) fn take_poison_news(
+    pub(super) fn apply_poison_updates(
         &self,
         state: &mut GatewayState,
         updates: &[PoisonNews],
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -88,11 +88,11 @@
     }
 
     /// Applies the complete list of records.
-    pub(crate) fn take_poison_records(&self, stored: Vec<StoredRecord>, consistency: Consistency) {
+    pub(crate) fn apply_poison_records(&self, stored: Vec<StoredRecord>, consistency: Consistency) {
         let (now, time) = (self.clock().now(), SystemTime::now());
         let count = stored.len();
         for stored in stored {
-            self.take_poison_record(stored, now, time);
+            self.apply_poison_record(stored, now, time);
         }
         let mut state = self.state_mut();
         let held_back = state.poison.convicted().count();
@@ -110,7 +110,7 @@
         self.poison_records_due.notify_one();
     }
 
-    fn take_poison_record(&self, stored: StoredRecord, now: Timestamp, time: SystemTime) {
+    fn apply_poison_record(&self, stored: StoredRecord, now: Timestamp, time: SystemTime) {
         let digest = stored.record.digest();
         let stored_history = stored.record.history(now, time);
         let is_chosen = self.is_removing_records();
--- a/crates/gateway/src/gateway/prefill_split.rs
+++ b/crates/gateway/src/gateway/prefill_split.rs
@@ -65,10 +65,10 @@
         let tokens = state.reading_demand.per_second(pool, now);
         let known = state.divisions.get(pool);
         let prices = &self.settings().prices;
-        let intake = self.shared_intake(state, pool, now);
+        let filter = self.pool_filter(state, pool, now);
         let was_split = known.is_some();
         let of_pool = state.engines.of_pool(pool);
-        let engines = of_pool.filter(|engine| intake.admits(&engine.entry));
+        let engines = of_pool.filter(|engine| filter.admits(&engine.entry));
         let division = Division::among(engines, tokens, prices, was_split);
         if known != division.as_ref() {
             info!(self.log(), "engines_divided"; "pool" => %pool,
--- a/crates/gateway/src/gateway/published_weights.rs
+++ b/crates/gateway/src/gateway/published_weights.rs
@@ -21,7 +21,11 @@
     /// The weights count as published from the earliest moment at which that may have happened, as
     /// far as this node and the others know: a node that learns of them late must not use older
     /// weights for that much longer.
-    pub(super) fn take_published_weights(&self, named: &NamedWeights, asked_at: Option<Timestamp>) {
+    pub(super) fn apply_published_weights(
+        &self,
+        named: &NamedWeights,
+        asked_at: Option<Timestamp>,
+    ) {
         let now = self.clock().now();
         let at = match self.state().has_weights_list {
             true => NamedAt::Between(self.earliest_publication(asked_at, now), now),
@@ -41,12 +45,12 @@
         }
         let state = self.state();
         let replica = state.replicas.of(ItemKind::Weights);
-        let known_at = replica.freshness.confirmed_at().max(replica.read_at);
+        let as_of = replica.freshness.confirmed_at().max(replica.read_at);
         // An earlier time would make no difference: older weights must be given up at once in any
         // case.
         let settings = self.settings();
         let earliest = now.before(settings.assumed_weights_age);
-        match known_at {
+        match as_of {
             Some(at) if now.since(at) > settings.weights_propagation_time => at.max(earliest),
             // The grace already allows for a delay of up to `weights_propagation_time`.
             Some(_) | None => now,
--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_admission.rs
@@ -36,7 +36,7 @@
     }
 
     /// The engines that take the requests of a pool as a whole, leaving aside the share of a trial.
-    pub(super) fn shared_intake(
+    pub(super) fn pool_filter(
         &self,
         state: &GatewayState,
         pool: &PoolName,
--- a/crates/gateway/src/gateway/release_work.rs
+++ b/crates/gateway/src/gateway/release_orders.rs
@@ -67,9 +67,9 @@
     }
 
     /// Applies a grant that the source has recorded.
-    pub fn take_recorded_grant(&self, grant: Grant) {
+    pub fn apply_recorded_grant(&self, grant: Grant) {
         let mut state = self.state_mut();
-        self.take_grant(&mut state, grant, Duration::ZERO);
+        self.apply_grant(&mut state, grant, Duration::ZERO);
     }
 
     /// Whether a pool has engines of several versions while it is not known which of them are
--- a/crates/gateway/src/gateway/release_updates.rs
+++ b/crates/gateway/src/gateway/release_updates.rs
@@ -5,7 +5,7 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::release::{Counts, Reporter};
 
-use super::release_intake::is_obsolete;
+use super::release_admission::is_obsolete;
 use super::{Gateway, GatewayState};
 use crate::peers::{PeerMessage, ZoneUpdate};
 use crate::release::{
@@ -64,11 +64,11 @@
     }
 
     /// Applies what another node reports of releases.
-    pub(super) fn take_release_updates(&self, state: &mut GatewayState, message: &PeerMessage) {
+    pub(super) fn apply_release_updates(&self, state: &mut GatewayState, message: &PeerMessage) {
         if self.settings().releases.is_none() {
             return;
         }
-        self.take_grants(state, &message.releases);
+        self.apply_grants(state, &message.releases);
         // The same message carried all grants, so a pool without one has no order.
         state.releases.knows_orders |= message.knows_orders;
         let is_near = message.from.zone == self.settings().identity.zone;
@@ -76,35 +76,35 @@
             true => Origin::Near,
             false => Origin::Far,
         };
-        take_evidence(state, &message.evidence, message.from.incarnation, origin);
+        apply_evidence(state, &message.evidence, message.from.incarnation, origin);
     }
 
     /// Applies what another zone reports of releases.
-    pub(super) fn take_zone_release_updates(&self, state: &mut GatewayState, update: &ZoneUpdate) {
+    pub(super) fn apply_zone_release_updates(&self, state: &mut GatewayState, update: &ZoneUpdate) {
         if self.settings().releases.is_none() {
             return;
         }
-        self.take_grants(state, &update.releases);
+        self.apply_grants(state, &update.releases);
         if update.zone != self.settings().identity.zone {
             let reporter = zone_reporter(&update.zone);
-            take_evidence(state, &update.evidence, reporter, Origin::Zone);
+            apply_evidence(state, &update.evidence, reporter, Origin::Zone);
         }
     }
 
-    fn take_grants(&self, state: &mut GatewayState, releases: &[ReleaseUpdate]) {
+    fn apply_grants(&self, state: &mut GatewayState, releases: &[ReleaseUpdate]) {
         for update in releases {
             let age = Duration::from_millis(update.age_ms);
-            self.take_grant(state, update.grant.clone(), age);
+            self.apply_grant(state, update.grant.clone(), age);
         }
     }
 }
 
 /// Selects the counts to send. When there are too many for one message, each message carries
 /// another part. Counts only rise, so later messages include what an earlier one left out.
-fn evidence_of(known: &KnownRelease, counts: &Counts, turn: u64) -> EvidenceUpdate {
+fn evidence_of(known: &KnownRelease, counts: &Counts, rotation: u64) -> EvidenceUpdate {
     let cells = counts.iter().count();
     let parts = cells.div_ceil(MAX_CELLS_PER_MESSAGE).max(1);
-    let part = turn as usize % parts;
+    let part = rotation as usize % parts;
     let mut selected = Counts::default();
     for (cell, tally) in counts
         .iter()
@@ -123,7 +123,7 @@
     }
 }
 
-fn take_evidence(
+fn apply_evidence(
     state: &mut GatewayState,
     evidence: &[EvidenceUpdate],
     reporter: Reporter,
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -7,7 +7,7 @@
 use ryerouter_core::release::{Counts, Fleet, Grant, Order, Progress, Settings, Stage};
 use slog::info;
 
-use super::release_intake::{note_all_replaced, note_replaced};
+use super::release_admission::{note_all_replaced, note_replaced};
 use super::{Gateway, GatewayState};
 use crate::engines::Engine;
 
@@ -17,7 +17,7 @@
     pub fn publish_grant(&self, grant: Grant) {
         let mut state = self.state_mut();
         let pool = grant.order.pool.clone();
-        let is_stage = self.take_grant(&mut state, grant, Duration::ZERO);
+        let is_stage = self.apply_grant(&mut state, grant, Duration::ZERO);
         if is_stage && state.peers.is_large() {
             state.releases.urgent.insert(pool);
         }
@@ -28,7 +28,12 @@
     }
 
     /// Applies a grant that the director gave `age` ago; returns whether it starts another stage.
-    pub(super) fn take_grant(&self, state: &mut GatewayState, grant: Grant, age: Duration) -> bool {
+    pub(super) fn apply_grant(
+        &self,
+        state: &mut GatewayState,
+        grant: Grant,
+        age: Duration,
+    ) -> bool {
         let now = self.clock().now();
         let pool = grant.order.pool.clone();
         let before = state.releases.of(&pool);
@@ -97,12 +102,12 @@
         };
         let running = present.iter().map(|engine| engine.load().requests);
         let known = state.releases.of(&order.pool);
-        let is_shut = |engine: &&&Engine| {
+        let is_rejected = |engine: &&&Engine| {
             known.is_some_and(|known| known.rejected.contains(&engine.entry.software))
         };
         let serving: Vec<_> = present
             .iter()
-            .filter(|each| !is_shut(each))
+            .filter(|each| !is_rejected(each))
             .copied()
             .collect();
         let table = state.table.as_ref();
@@ -110,9 +115,9 @@
             table.map_or(Duration::ZERO, |table| table.longest_timeout(&order.pool));
         // A node that receives nothing from the director sends no new requests to the target
         // version once its grant has expired.
-        let life = self.settings().releases.as_ref();
-        let life = life.map_or(Duration::ZERO, |settings| settings.grant_life());
-        let within = longest_request + life;
+        let lifetime = self.settings().releases.as_ref();
+        let lifetime = lifetime.map_or(Duration::ZERO, |settings| settings.grant_life());
+        let within = longest_request + lifetime;
         Fleet {
             present: able(&serving),
             target: able(&target),
--- a/crates/gateway/src/gateway/replica_freshness.rs
+++ b/crates/gateway/src/gateway/replica_freshness.rs
@@ -41,8 +41,8 @@
             return false;
         }
         let interval = self.check_interval(&state, kind, now);
-        let known_at = replica.freshness.confirmed_at().max(replica.read_at);
-        replica.is_behind() || known_at.is_none_or(|at| now.since(at) >= interval)
+        let as_of = replica.freshness.confirmed_at().max(replica.read_at);
+        replica.is_behind() || as_of.is_none_or(|at| now.since(at) >= interval)
     }
 
     /// Handles a failed check; `failures` is the number of consecutive ones.
@@ -104,7 +104,7 @@
         if state.peers.is_large() {
             return Vec::new();
         }
-        let proof = |kind| {
+        let freshness = |kind| {
             let replica = state.replicas.of(kind);
             Some(ReplicaFreshness {
                 kind,
@@ -112,27 +112,27 @@
                 age_ms: replica.freshness.age(now)?.as_millis() as u64 + 1,
             })
         };
-        CHECKED_KINDS.into_iter().filter_map(proof).collect()
+        CHECKED_KINDS.into_iter().filter_map(freshness).collect()
     }
 
     /// Applies what another node reports of its replicas: it confirms this node's as well, or shows
     /// that they lack a change.
-    pub(super) fn take_replica_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
+    pub(super) fn apply_replica_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
         let now = self.clock().now();
         let sent_at = self.echoed_message_sent_at(state, message);
-        for proof in &message.copies {
-            let replica = state.replicas.of_mut(proof.kind);
+        for reported in &message.copies {
+            let replica = state.replicas.of_mut(reported.kind);
             let was_behind = replica.is_behind();
-            let is_behind = !replica.note_told(proof.changed_until, now);
-            if replica.revision < Some(proof.changed_until) {
+            let is_behind = !replica.note_told(reported.changed_until, now);
+            if replica.revision < Some(reported.changed_until) {
                 if is_behind && !was_behind {
-                    info!(self.log(), "copy_behind"; "kind" => %proof.kind,
-                        "revision" => replica.revision, "changed_until" => proof.changed_until,
+                    info!(self.log(), "copy_behind"; "kind" => %reported.kind,
+                        "revision" => replica.revision, "changed_until" => reported.changed_until,
                         "peer" => %message.from.name);
                 }
                 state.note_peer_ahead(&message.from, now);
             } else if let Some(sent_at) = sent_at {
-                let age = Duration::from_millis(proof.age_ms);
+                let age = Duration::from_millis(reported.age_ms);
                 replica.freshness.confirm(sent_at.before(age));
             }
         }
--- a/crates/gateway/src/gateway/shared.rs
+++ b/crates/gateway/src/gateway/shared.rs
@@ -198,7 +198,7 @@
     fn choose_among(
         &self,
         request: &PlacementRequest<'_>,
-        intake: &EngineFilter,
+        filter: &EngineFilter,
         failing: Failing,
     ) -> Option<Placement> {
         let state = self.state();
@@ -219,7 +219,7 @@
             places: &self.settings.places,
             now,
         };
-        chooser.choose_among(request, intake, failing)
+        chooser.choose_among(request, filter, failing)
     }
 
     /// Takes the number of requests of each pool that started on replaced weights since the last
@@ -293,7 +293,7 @@
     }
 
     /// Resolves once the gateway is shutting down.
-    pub async fn left(&self) {
+    pub async fn until_leaving(&self) {
         let notified = self.leaving.notified();
         if self.is_leaving() {
             return;
--- a/crates/gateway/src/gateway/source_items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -22,18 +22,18 @@
 
 impl Gateway {
     /// Applies the list of all items of a kind at `revision`, read by a request sent at `asked_at`.
-    pub fn take_list(&self, kind: ItemKind, items: Vec<Item>, revision: u64, asked_at: Timestamp) {
+    pub fn apply_list(&self, kind: ItemKind, items: Vec<Item>, revision: u64, asked_at: Timestamp) {
         let list = List {
             items,
             revision,
             consistency: Consistency::Linearizable,
             asked_at,
         };
-        self.take_list_of(kind, list);
+        self.apply_list_of(kind, list);
     }
 
     /// Applies a list of all items of a kind. A list that may be stale confirms nothing.
-    pub fn take_list_of(&self, kind: ItemKind, list: List) {
+    pub fn apply_list_of(&self, kind: ItemKind, list: List) {
         let now = self.clock().now();
         let asked_at = list.asked_at;
         let is_current = list.consistency == Consistency::Linearizable;
@@ -51,7 +51,7 @@
     }
 
     /// Applies an engine list from another node, used while the source does not answer this one.
-    pub(super) fn take_peer_list(
+    pub(super) fn apply_peer_list(
         &self,
         entries: &[EngineEntry],
         unusable: &[BackEndName],
@@ -72,7 +72,7 @@
         if kind == ItemKind::Engines {
             match state.has_engine_list {
                 true => {
-                    let changes = differences(&state.engines, items);
+                    let changes = list_changes(&state.engines, items);
                     state.engine_log.append(changes, revision, now);
                 }
                 false => state.engine_log.restart(revision),
@@ -90,7 +90,7 @@
     /// Applies changes up to a revision, from the source in response to a request sent at
     /// `asked_at`, or from another node. A batch older than the replica is ignored, since the
     /// newest state counts.
-    pub fn take_batch(&self, kind: ItemKind, batch: ItemBatch, asked_at: Option<Timestamp>) {
+    pub fn apply_batch(&self, kind: ItemKind, batch: ItemBatch, asked_at: Option<Timestamp>) {
         let mut state = self.state_mut();
         if state.replicas.of(kind).revision > Some(batch.revision) {
             return;
@@ -107,7 +107,7 @@
         }
         drop(state);
         match asked_at {
-            Some(asked_at) => self.change_items(kind, batch.changes, asked_at),
+            Some(asked_at) => self.apply_changes(kind, batch.changes, asked_at),
             None => self.apply(kind, batch.changes, None),
         }
     }
@@ -129,7 +129,7 @@
             let listed = items.iter().filter_map(entry_name).collect();
             let gone = self.state().engines.names_outside(&listed);
             for name in gone {
-                self.engine_gone(&name);
+                self.handle_entry_removed(&name);
             }
             let mut state = self.state_mut();
             state.unusable_entries.clear();
@@ -144,7 +144,7 @@
 
     /// Applies changes, or none, that the source reported in response to a request sent at
     /// `asked_at`.
-    pub fn change_items(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Timestamp) {
+    pub fn apply_changes(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Timestamp) {
         self.note_engine_list_read(kind);
         self.apply(kind, changes, Some(asked_at));
         self.note_source_answer(kind, Some(asked_at));
@@ -176,7 +176,7 @@
             replica.freshness.confirm(confirmed_at);
         }
         drop(state);
-        self.become_ready();
+        self.update_readiness();
     }
 
     /// Records that the source answered a request that was sent at `asked_at` and might wait for
@@ -200,13 +200,13 @@
         for change in changes {
             match change {
                 ItemChange::Present(Item::Configuration(table)) => self.adopt_table(table),
-                ItemChange::Present(Item::Engine(entry)) => self.take_engine_entry(entry),
-                ItemChange::Present(Item::Unusable(name)) => self.engine_unusable(&name),
+                ItemChange::Present(Item::Engine(entry)) => self.apply_engine_entry(entry),
+                ItemChange::Present(Item::Unusable(name)) => self.handle_entry_unusable(&name),
                 ItemChange::Present(Item::Weights(named)) => {
-                    self.take_published_weights(&named, asked_at);
+                    self.apply_published_weights(&named, asked_at);
                 }
                 ItemChange::Gone(name) if kind == ItemKind::Engines => {
-                    self.engine_gone(&BackEndName::new(name));
+                    self.handle_entry_removed(&BackEndName::new(name));
                 }
                 ItemChange::Gone(_) => {}
             }
@@ -271,9 +271,9 @@
         replica.note_caught_up();
     }
 
-    pub(super) fn take_engine_entry(&self, entry: EngineEntry) {
+    pub(super) fn apply_engine_entry(&self, entry: EngineEntry) {
         let mut state = self.state_mut();
-        if self.take_incarnation(&mut state, &entry) == ToldLife::Former {
+        if self.apply_incarnation(&mut state, &entry) == ToldLife::Former {
             return;
         }
         state.unusable_entries.remove(&entry.name);
@@ -305,7 +305,7 @@
 
     /// Handles a removed entry. The engine is dropped at once, unless the source was disrupted,
     /// which removes entries of engines that still serve.
-    fn engine_gone(&self, name: &BackEndName) {
+    fn handle_entry_removed(&self, name: &BackEndName) {
         let now = self.clock().now();
         let grace = self.settings().unlisted_grace;
         let mut state = self.state_mut();
@@ -327,7 +327,7 @@
 
     /// Handles an entry that can't be parsed. Another writer has replaced the engine's entry, which
     /// is no expiry, so the engine is dropped at once even during a disruption of the source.
-    fn engine_unusable(&self, name: &BackEndName) {
+    fn handle_entry_unusable(&self, name: &BackEndName) {
         let is_new_state = self.state_mut().unusable_entries.insert(name.clone());
         if is_new_state {
             warn!(self.log(), "engine_unusable"; "engine" => %name);
@@ -343,7 +343,7 @@
                 info!(self.log(), "engine_gone"; "engine" => %name, "left_out" => left_out);
             }
             if let Some(incarnation) = engine.entry.incarnation {
-                state.lives.note_gone(name, incarnation, now);
+                state.incarnations.note_gone(name, incarnation, now);
             }
         }
         state.holders.forget_engine(name);
@@ -364,7 +364,7 @@
         drop(state);
         self.state_mut().has_unlisted_engines = false;
         for name in names {
-            self.engine_gone(&name);
+            self.handle_entry_removed(&name);
         }
     }
 
@@ -382,7 +382,7 @@
         state.engines.get(engine).map(|known| known.entry.address)
     }
 
-    pub(super) fn become_ready(&self) {
+    pub(super) fn update_readiness(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         let knows_all = state.table.is_some() && state.has_engine_list;
@@ -401,7 +401,7 @@
 }
 
 /// The changes that a list makes to the known engines.
-fn differences(engines: &EngineTable, items: &[Item]) -> Vec<ItemChange> {
+fn list_changes(engines: &EngineTable, items: &[Item]) -> Vec<ItemChange> {
     let listed = items.iter().filter_map(entry_name).collect();
     let gone = engines.names_outside(&listed);
     let gone = gone
--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -62,8 +62,8 @@
         if !state.peers.is_large() {
             return Role::Watcher;
         }
-        let is_newcomer = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
-        let has_parent = is_newcomer || self.parent(&state, now).is_some();
+        let is_new = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
+        let has_parent = is_new || self.parent(&state, now).is_some();
         // Nodes that ask this one although it is not their reader could not rely on its parent.
         let is_stand_in = state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
         match has_parent && !is_stand_in && !state.is_order_candidate {
@@ -83,11 +83,11 @@
     /// small deployment, which asks only while it is behind, or in a wide zone, where answers have
     /// passed through one more node.
     pub fn asks_often(&self) -> bool {
-        let is_few_or_many = {
+        let is_small_or_wide = {
             let state = self.state();
             !state.peers.is_large() || state.peers.is_wide()
         };
-        is_few_or_many || self.is_zone_reader()
+        is_small_or_wide || self.is_zone_reader()
     }
 
     /// The next question and its receiver; `None` while this node follows no other.
@@ -138,8 +138,8 @@
             return replicas.any(|replica| replica.is_behind_for(OWN_WATCH_TIMEOUT, now));
         }
         let replica = state.replicas.of(ItemKind::Engines);
-        let known_at = replica.freshness.confirmed_at().max(replica.read_at);
-        known_at.is_some_and(|at| now.since(at) >= self.late_replica_age())
+        let as_of = replica.freshness.confirmed_at().max(replica.read_at);
+        as_of.is_some_and(|at| now.since(at) >= self.late_replica_age())
     }
 
     /// Age from which a replica counts as late.
@@ -249,22 +249,22 @@
     /// so that the rest should be asked for at once. While many engines start, more changes arrive
     /// between two questions than one answer holds. A replica that is never complete is never
     /// confirmed, and without this each node then asked the source.
-    pub fn take_answer(&self, answer: Answer) -> bool {
+    pub fn apply_answer(&self, answer: Answer) -> bool {
         let Some((reader, asked_at)) = self.state_mut().sync.close(answer.number) else {
             return false;
         };
         let before = self.state().replicas.of(ItemKind::Engines).revision;
-        self.take_engines(&answer, asked_at);
-        self.take_weights(&answer, asked_at);
-        self.take_configuration(&answer, &reader, asked_at);
-        self.judge_reader(&reader, &answer);
-        self.become_ready();
+        self.apply_engines(&answer, asked_at);
+        self.apply_weights(&answer, asked_at);
+        self.apply_configuration(&answer, &reader, asked_at);
+        self.avoid_stale_reader(&reader, &answer);
+        self.update_readiness();
         let after = self.state().replicas.of(ItemKind::Engines).revision;
         let newest = answer.engines.map(|mark| mark.position);
         before < after && after < newest
     }
 
-    fn take_engines(&self, answer: &Answer, asked_at: Timestamp) {
+    fn apply_engines(&self, answer: &Answer, asked_at: Timestamp) {
         let Some(mark) = answer.engines else {
             return;
         };
@@ -277,7 +277,7 @@
         if !answer.list.is_empty() && is_newer {
             info!(self.log(), "engine_list_handed_over"; "revision" => mark.position,
                 "engines" => answer.list.len());
-            self.take_peer_list(&answer.list, &answer.unusable, mark.position);
+            self.apply_peer_list(&answer.list, &answer.unusable, mark.position);
         } else if answer.revision.is_none() {
             let now = self.clock().now();
             let mut state = self.state_mut();
@@ -292,16 +292,16 @@
             let changes = answer.changes.iter().cloned().chain(grouped);
             let changes = changes.map(Into::into).collect();
             let batch = ItemBatch { changes, revision };
-            self.take_batch(ItemKind::Engines, batch, None);
+            self.apply_batch(ItemKind::Engines, batch, None);
         }
         self.apply_mark(ItemKind::Engines, mark, asked_at);
     }
 
-    fn take_weights(&self, answer: &Answer, asked_at: Timestamp) {
+    fn apply_weights(&self, answer: &Answer, asked_at: Timestamp) {
         let Some(mark) = answer.weights else {
             return;
         };
-        self.take_publications(&answer.named);
+        self.apply_publications(&answer.named);
         let now = self.clock().now();
         let mut state = self.state_mut();
         let replica = state.replicas.of_mut(ItemKind::Weights);
@@ -315,7 +315,7 @@
         self.apply_mark(ItemKind::Weights, mark, asked_at);
     }
 
-    fn take_configuration(&self, answer: &Answer, reader: &NodeName, asked_at: Timestamp) {
+    fn apply_configuration(&self, answer: &Answer, reader: &NodeName, asked_at: Timestamp) {
         let Some(mark) = answer.configuration else {
             return;
         };
@@ -348,7 +348,7 @@
     /// Avoids a reader for a while if it has nothing recent itself. A reader that has nothing at
     /// all is tolerated as long as this node has nothing either: where all nodes start before there
     /// is a configuration, each would otherwise reject every reader and read the source for itself.
-    fn judge_reader(&self, reader: &NodeName, answer: &Answer) {
+    fn avoid_stale_reader(&self, reader: &NodeName, answer: &Answer) {
         let now = self.clock().now();
         let limit = self
             .settings()
--- a/crates/gateway/src/gateway/update_queue.rs
+++ b/crates/gateway/src/gateway/update_queue.rs
@@ -19,9 +19,9 @@
     taken
 }
 
-/// At most `max` elements of `all`; successive values of `turn` select successive parts.
-pub(super) fn rotating_part<K: Clone>(all: &[K], max: usize, turn: usize) -> Vec<K> {
+/// At most `max` elements of `all`; successive values of `rotation` select successive parts.
+pub(super) fn rotating_part<K: Clone>(all: &[K], max: usize, rotation: usize) -> Vec<K> {
     let parts = all.len().div_ceil(max).max(1);
-    let of_turn = all.chunks(max).nth(turn % parts);
+    let of_turn = all.chunks(max).nth(rotation % parts);
     of_turn.unwrap_or_default().to_vec()
 }
--- a/crates/gateway/src/gateway/zone_relay.rs
+++ b/crates/gateway/src/gateway/zone_relay.rs
@@ -328,9 +328,9 @@
             state.zone_traffic.note(update, loads, now);
             self.note_foreign_loads(&mut state, now);
         }
-        self.take_zone_release_updates(&mut state, update);
-        self.take_poison_news(&mut state, &update.poison, now);
-        self.take_signal_updates(&mut state, &update.signals, now);
+        self.apply_zone_release_updates(&mut state, update);
+        self.apply_poison_updates(&mut state, &update.poison, now);
+        self.apply_signal_updates(&mut state, &update.signals, now);
         let updates = match &update.pass {
             Pass::Zone if self.is_of_other_region(update) => {
                 let mut updates = self.updates_for_zone(&state, update, now);
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -64,7 +64,7 @@
                 if tick.is_multiple_of(TICKS_PER_SUMMARY) {
                     gateway.log_tenants_near_limits();
                     gateway.log_limited_engines();
-                    gateway.count_peers();
+                    gateway.update_peer_count();
                 }
                 tell(&gateway, &socket, tick);
                 tell_zones(&gateway, &socket, tick);
@@ -99,7 +99,7 @@
             send(gateway, socket, &Datagram::Answer(answer), &[from]);
         }
         Ok(Datagram::Answer(answer)) => {
-            if gateway.take_answer(answer) {
+            if gateway.apply_answer(answer) {
                 ask(gateway, socket);
             }
         }
@@ -109,7 +109,7 @@
             }
         }
         Ok(Datagram::Chunk(chunk)) => {
-            send_fetch(gateway, socket, gateway.take_configuration_chunk(chunk))
+            send_fetch(gateway, socket, gateway.apply_configuration_chunk(chunk))
         }
         Ok(Datagram::ListFetch(fetch)) => {
             if let Some(piece) = gateway.answer_list_fetch(&fetch) {
@@ -117,7 +117,7 @@
             }
         }
         Ok(Datagram::ListPiece(piece)) => {
-            let next = gateway.take_list_piece(from, piece, &mut rand::rng());
+            let next = gateway.apply_list_piece(from, piece, &mut rand::rng());
             send_list_fetch(gateway, socket, next);
         }
         Ok(Datagram::Zone(news)) => {
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -81,5 +81,5 @@
         return;
     }
     progress.cursors.insert(engine.clone(), (told.next, life));
-    gateway.take_cache_changes(&engine, &told.changes, since.is_none());
+    gateway.apply_cache_changes(&engine, &told.changes, since.is_none());
 }
--- a/crates/gateway/src/poison/keeper.rs
+++ b/crates/gateway/src/poison/keeper.rs
@@ -46,7 +46,7 @@
     loop {
         let listed = timeout(ANSWER_LIMIT, store.list(consistency)).await;
         match listed.unwrap_or(Err(SourceError::NoAnswer)) {
-            Ok(records) => return gateway.take_poison_records(records, consistency),
+            Ok(records) => return gateway.apply_poison_records(records, consistency),
             Err(error) => {
                 failures += 1;
                 info!(gateway.log(), "poison_records_unread"; "failures" => failures,
--- a/crates/gateway/src/release/order_follower.rs
+++ b/crates/gateway/src/release/order_follower.rs
@@ -100,7 +100,7 @@
                     self.note_answer();
                     info!(self.gateway.log(), "release_orders_read"; "revision" => list.revision,
                         "orders" => list.releases.len());
-                    self.orders.borrow_mut().take_list(list);
+                    self.orders.borrow_mut().apply_list(list);
                     self.gateway.note_orders_known();
                     return;
                 }
@@ -146,7 +146,7 @@
     }
 
     fn take(&self, batch: ReleaseBatch) {
-        self.orders.borrow_mut().take_batch(batch);
+        self.orders.borrow_mut().apply_batch(batch);
     }
 
     /// Resolves when engines run a version that is new in their pool and that nobody is known to have
--- a/crates/gateway/src/release/orders.rs
+++ b/crates/gateway/src/release/orders.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes all orders.
-    pub fn take_list(&mut self, list: ReleaseList) {
+    pub fn apply_list(&mut self, list: ReleaseList) {
         let pools: Vec<_> = list.releases.iter().map(pool_of).collect();
         self.known
             .retain(|pool, known| known.release.revision > list.revision || pools.contains(pool));
@@ -51,7 +51,7 @@
     }
 
     /// Takes changes.
-    pub fn take_batch(&mut self, batch: ReleaseBatch) {
+    pub fn apply_batch(&mut self, batch: ReleaseBatch) {
         for change in batch.changes {
             match change {
                 ReleaseChange::Ordered(release) => self.take(release),
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -83,7 +83,7 @@
                 info!(log, "release_orders_read"; "revision" => list.revision,
                     "orders" => list.releases.len());
                 let mut orders = Orders::default();
-                orders.take_list(list);
+                orders.apply_list(list);
                 tell_heard(&self.gateway, &orders);
                 tell_ends(&self.gateway, &orders);
                 self.gateway.note_orders_known();
@@ -126,7 +126,7 @@
                 };
                 info!(log, "release_record_read"; "pool" => %pool, "target" => &found.order.target,
                     "stage" => %found.stage, "before" => %grant.stage, "revision" => found.revision);
-                self.gateway.take_recorded_grant(found);
+                self.gateway.apply_recorded_grant(found);
             }
             Err(error) => {
                 info!(log, "release_record_unread"; "pool" => %pool, "error" => %error);
--- a/crates/gateway/src/rollout/rollout_driver.rs
+++ b/crates/gateway/src/rollout/rollout_driver.rs
@@ -165,7 +165,7 @@
         report: Option<EngineReport>,
     ) -> Option<EngineReport> {
         let report = report?;
-        let told = self.gateway.take_report_incarnation(engine, &report);
+        let told = self.gateway.apply_report_incarnation(engine, &report);
         (told != ToldLife::Former).then_some(report)
     }
 
--- a/crates/gateway/src/serve/connection_server.rs
+++ b/crates/gateway/src/serve/connection_server.rs
@@ -45,7 +45,7 @@
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
         .max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES));
     let answer = |request| respond(Rc::clone(&gateway), request);
-    serve_connection(connection, stream, server, gateway.left(), answer).await;
+    serve_connection(connection, stream, server, gateway.until_leaving(), answer).await;
 }
 
 fn caller_limits(gateway: &Gateway) -> CallerLimits {
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -382,7 +382,7 @@
             return Refusal::new(RefusalReason::MayHaveRun, "no other engine");
         }
         let pool = &self.request.pool;
-        let detail = match self.gateway.barred_engines(pool) {
+        let detail = match self.gateway.excluded_engines(pool) {
             Some(barred) => format!("pool '{pool}': no engine takes work ({barred})"),
             None => format!("pool '{pool}': no engine takes work"),
         };
@@ -400,7 +400,7 @@
 
     /// When to come back: once an engine may be sent something again, where all of them say when.
     fn wait(&self, otherwise: Duration) -> Duration {
-        let opening = self.gateway.next_opening(&self.request.pool);
+        let opening = self.gateway.shortest_exclusion(&self.request.pool);
         opening.map_or(otherwise, |opening| opening.max(otherwise))
     }
 
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -303,8 +303,8 @@
             let seconds = self.active.elapsed_ms() as f64 / 1e3;
             gateway.metrics().first_answer_seconds.observe(seconds);
             let pool = &self.exchange.request.pool;
-            gateway.note_begin(pool, Duration::from_millis(elapsed_ms));
-            gateway.note_prompt_read(&live.placement);
+            gateway.note_request_start(pool, Duration::from_millis(elapsed_ms));
+            gateway.note_prefill_done(&live.placement);
             count_tokens(&self.exchange, &live.placement);
         }
     }
--- a/crates/gateway/src/source/copy_prober.rs
+++ b/crates/gateway/src/source/copy_prober.rs
@@ -78,7 +78,7 @@
 fn take(gateway: &Gateway, kind: ItemKind, batch: ItemBatch, asked_at: Timestamp) {
     gateway.log_source_changes(kind, Query::Probe, &batch, asked_at);
     let has_changes = !batch.changes.is_empty();
-    gateway.take_batch(kind, batch, Some(asked_at));
+    gateway.apply_batch(kind, batch, Some(asked_at));
     if has_changes {
         gateway.request_peer_send();
     }
--- a/crates/gateway/src/source/follower.rs
+++ b/crates/gateway/src/source/follower.rs
@@ -134,7 +134,7 @@
             match listed {
                 Ok(list) if self.revision() <= Some(list.revision) => {
                     self.note_answer();
-                    self.take_list(list);
+                    self.apply_list(list);
                     return;
                 }
                 // Older than the copy: it tells nothing.
@@ -144,7 +144,7 @@
         }
     }
 
-    fn take_list(&mut self, list: List) {
+    fn apply_list(&mut self, list: List) {
         self.log_list(&list);
         self.listed_at = Some(list.asked_at);
         let gateway = &self.gateway;
@@ -152,7 +152,7 @@
         if list.consistency == Consistency::Linearizable {
             gateway.note_response_time(list.asked_at, Duration::ZERO);
         }
-        gateway.take_list_of(self.kind, list);
+        gateway.apply_list_of(self.kind, list);
     }
 
     /// The first list may be stale: the watch from its revision, or another node, tells the rest. A
@@ -206,7 +206,7 @@
                     self.gateway.note_response_time(asked_at, wait);
                     self.gateway
                         .log_source_changes(self.kind, Query::Watch, &batch, asked_at);
-                    self.gateway.take_batch(self.kind, batch, Some(asked_at));
+                    self.gateway.apply_batch(self.kind, batch, Some(asked_at));
                 }
                 Ok(_) | Err(SourceError::HistoryGone) => {
                     info!(self.gateway.log(), "source_history_gone"; "kind" => %self.kind,
@@ -243,7 +243,7 @@
             Ok(list) if self.revision() <= Some(list.revision) => {
                 let gateway = &self.gateway;
                 let revision = list.revision;
-                gateway.take_list_of(self.kind, list);
+                gateway.apply_list_of(self.kind, list);
                 let after = gateway.configuration_version();
                 debug!(gateway.log(), "configuration_read_stale"; "before" => before,
                     "after" => after, "revision" => revision);
--- a/crates/gateway/src/source/follower/first_list.rs
+++ b/crates/gateway/src/source/follower/first_list.rs
@@ -32,7 +32,7 @@
         match page {
             Ok(page) if page.next_after.is_none() => {
                 self.note_answer();
-                self.take_list(List {
+                self.apply_list(List {
                     items: page.items,
                     revision: page.revision,
                     consistency: Consistency::Stale,
--- a/crates/gateway/src/source/freshness_prober.rs
+++ b/crates/gateway/src/source/freshness_prober.rs
@@ -69,7 +69,7 @@
             gateway.note_response_time(asked_at, Duration::ZERO);
             gateway.log_source_changes(ItemKind::Configuration, Query::Probe, &batch, asked_at);
             // The watch that runs beside goes on from its own revision.
-            gateway.change_items(ItemKind::Configuration, batch.changes, asked_at);
+            gateway.apply_changes(ItemKind::Configuration, batch.changes, asked_at);
             gateway.request_peer_send();
             true
         }
--- a/crates/gateway/tests/beliefs.rs
+++ b/crates/gateway/tests/beliefs.rs
@@ -25,7 +25,7 @@
 
 fn engine_gone(gateway: &Gateway) {
     let gone = ItemChange::Gone(ENGINE.to_owned());
-    gateway.change_items(ItemKind::Engines, vec![gone], gateway.clock().now());
+    gateway.apply_changes(ItemKind::Engines, vec![gone], gateway.clock().now());
 }
 
 fn knows_engine(gateway: &Gateway) -> bool {
@@ -262,7 +262,7 @@
             })
         };
         let change = vec![ItemChange::Present(named(2))];
-        first.change_items(ItemKind::Weights, change, first.clock().now());
+        first.apply_changes(ItemKind::Weights, change, first.clock().now());
         let second = gateway("node-2");
         second.receive_peer_message(first.peer_message(true));
         second.replace_items(ItemKind::Weights, vec![named(2)], second.clock().now());
--- a/crates/gateway/tests/caches.rs
+++ b/crates/gateway/tests/caches.rs
@@ -146,7 +146,7 @@
     run(async {
         let nodes = nodes(2, 1);
         let name = BackEndName::new("e0");
-        nodes[0].take_cache_changes(&name, &[change(500, true)], true);
+        nodes[0].apply_cache_changes(&name, &[change(500, true)], true);
         nodes[2].receive_peer_message(nodes[0].peer_message(false));
         let expected = [name];
         assert_eq!(holders(&nodes[0]), expected);
@@ -159,11 +159,11 @@
     run(async {
         let nodes = nodes(2, 1);
         let name = BackEndName::new("e0");
-        nodes[0].take_cache_changes(&name, &[change(500, true)], true);
+        nodes[0].apply_cache_changes(&name, &[change(500, true)], true);
         nodes[2].receive_peer_message(nodes[0].peer_message(false));
         // Only the last of several changes counts.
         let changes = [change(0, false), change(500, true), change(128, false)];
-        nodes[0].take_cache_changes(&name, &changes, false);
+        nodes[0].apply_cache_changes(&name, &changes, false);
         assert!(!nodes[0].has_peer_updates());
         assert_eq!(holders(&nodes[0]), []);
         nodes[2].receive_peer_message(nodes[0].peer_message(false));
@@ -179,7 +179,7 @@
         let name = BackEndName::new("e0");
         let now = node.clock().now();
         node.state_mut().holders.note_untold(PART, &name, now);
-        node.take_cache_changes(&name, &[change(0, false)], false);
+        node.apply_cache_changes(&name, &[change(0, false)], false);
         assert_eq!(holders(&node), []);
         assert_eq!(node.peer_message(false).dropped, []);
     });
@@ -190,13 +190,13 @@
     run(async {
         let node = node(0, ZONE);
         let (first, second) = (BackEndName::new("e0"), BackEndName::new("e1"));
-        node.take_cache_changes(&first, &[change(500, true)], false);
+        node.apply_cache_changes(&first, &[change(500, true)], false);
         assert_eq!(holders(&node), []);
-        node.take_cache_changes(&first, &[change(500, true)], true);
-        node.take_cache_changes(&second, &[change(500, true)], false);
+        node.apply_cache_changes(&first, &[change(500, true)], true);
+        node.apply_cache_changes(&second, &[change(500, true)], false);
         assert_eq!(holders(&node), [first, second]);
         let third = BackEndName::new("e2");
-        node.take_cache_changes(&third, &[change(100, true)], true);
+        node.apply_cache_changes(&third, &[change(100, true)], true);
         assert!(!holders(&node).contains(&third));
     });
 }
--- a/crates/gateway/tests/catching_up.rs
+++ b/crates/gateway/tests/catching_up.rs
@@ -32,7 +32,7 @@
 
 fn catch_up(asker: &Gateway, reader: &Gateway) {
     let answer = ask(asker, reader).expect("relies on the reader");
-    asker.take_answer(answer);
+    asker.apply_answer(answer);
 }
 
 fn engine_change(name: &str, state: EngineState) -> ItemChange {
@@ -45,7 +45,7 @@
 fn source_tells(reader: &Gateway, changes: Vec<ItemChange>, revision: u64) {
     let batch = ItemBatch { changes, revision };
     let now = reader.clock().now();
-    reader.take_batch(ItemKind::Engines, batch, Some(now));
+    reader.apply_batch(ItemKind::Engines, batch, Some(now));
 }
 
 fn state_of(gateway: &Gateway, name: &str) -> Option<EngineState> {
@@ -213,7 +213,7 @@
         let answer = ask(other, reader).unwrap();
         // Meanwhile this node asked the source itself.
         source_tells(other, vec![ItemChange::Gone("e1".to_owned())], 105);
-        other.take_answer(answer);
+        other.apply_answer(answer);
         assert_eq!(state_of(other, "e1"), None);
     });
 }
@@ -230,7 +230,7 @@
         let answer = ask(other, reader).unwrap();
         // The answer waits, as when its receiver was paused.
         tokio::time::sleep(Duration::from_millis(40)).await;
-        other.take_answer(answer);
+        other.apply_answer(answer);
         let certain = reader.clock().now().since(proven_at);
         assert!(age(other, ItemKind::Engines) >= certain);
         assert!(age(other, ItemKind::Engines) < certain + Duration::from_millis(30));
@@ -289,7 +289,7 @@
         let answer = ask(other, reader).expect("relies on the reader");
         let bytes = serde_json::to_vec(&Datagram::Answer(answer.clone())).unwrap();
         assert!(bytes.len() < 60_000, "{}", bytes.len());
-        other.take_answer(answer);
+        other.apply_answer(answer);
         assert_eq!(state_of(other, "i-0000000007"), Some(EngineState::Draining));
         assert_eq!(state_of(other, "i-0000000499"), None);
         let state = other.state();
@@ -308,7 +308,7 @@
             source_tells(reader, changes.collect(), 101 + batch);
         }
         let mut answers = 0;
-        while other.take_answer(ask(other, reader).expect("relies on the reader")) {
+        while other.apply_answer(ask(other, reader).expect("relies on the reader")) {
             answers += 1;
         }
         assert_eq!(answers, 2);
@@ -345,7 +345,7 @@
         let (reader, other) = (&nodes[0], &nodes[5]);
         let entry = engine("e2", "127.0.0.1:2".parse().unwrap(), 1);
         let now = reader.clock().now();
-        reader.take_list(ItemKind::Engines, vec![Item::Engine(entry)], 200, now);
+        reader.apply_list(ItemKind::Engines, vec![Item::Engine(entry)], 200, now);
         catch_up(other, reader);
         assert_eq!(state_of(other, "e1"), None);
         assert_eq!(state_of(other, "e2"), Some(EngineState::Ready));
@@ -362,7 +362,7 @@
         revision,
     };
     let now = reader.clock().now();
-    reader.take_batch(ItemKind::Weights, batch, Some(now));
+    reader.apply_batch(ItemKind::Weights, batch, Some(now));
 }
 
 #[test]
@@ -394,8 +394,8 @@
             model: "model".to_owned(),
             version: 2,
         });
-        late.take_list(ItemKind::Weights, vec![named], 150, now);
-        late.take_list(ItemKind::Engines, Vec::new(), 150, now);
+        late.apply_list(ItemKind::Weights, vec![named], 150, now);
+        late.apply_list(ItemKind::Engines, Vec::new(), 150, now);
         nodes[0] = late;
         let (reader, other) = (&nodes[0], &nodes[5]);
         catch_up(other, reader);
@@ -440,7 +440,7 @@
         let asker = gateway_with(short);
         let now = asker.clock().now();
         configure(&asker, table(1, Vec::new()));
-        asker.take_list(ItemKind::Engines, Vec::new(), FIRST_REVISION, now);
+        asker.apply_list(ItemKind::Engines, Vec::new(), FIRST_REVISION, now);
         let mut nodes: Vec<_> = (0..11).filter(|index| *index != 5).map(node).collect();
         nodes.push(asker);
         introduce(&nodes);
--- a/crates/gateway/tests/engine_lives.rs
+++ b/crates/gateway/tests/engine_lives.rs
@@ -64,7 +64,7 @@
 
 fn change(gateway: &Gateway, change: ItemChange) {
     let now = gateway.clock().now();
-    gateway.change_items(ItemKind::Engines, vec![change], now);
+    gateway.apply_changes(ItemKind::Engines, vec![change], now);
 }
 
 fn list_life(gateway: &Gateway, incarnation: u64) {
@@ -371,10 +371,10 @@
             changes: vec![ItemChange::Present(Item::Engine(life(FIRST)))],
             revision: 101,
         };
-        reader.take_batch(ItemKind::Engines, batch, Some(reader.clock().now()));
+        reader.apply_batch(ItemKind::Engines, batch, Some(reader.clock().now()));
         list_life(other, SECOND);
         let (_, question) = other.next_question().unwrap();
-        other.take_answer(reader.answer_question(&question));
+        other.apply_answer(reader.answer_question(&question));
         assert_eq!(known_life(other), Some(SECOND));
     });
 }
@@ -403,7 +403,7 @@
     run(async {
         let gateway = gateway("node-1");
         list_engines(&gateway, vec![life(SECOND)]);
-        gateway.note_prompt_read(&placement(read_in));
+        gateway.note_prefill_done(&placement(read_in));
         assert_eq!(holds(&gateway), expected);
     });
 }
@@ -567,7 +567,7 @@
             .state_mut()
             .holders
             .note(PART, &name(), gateway.clock().now());
-        let told = gateway.take_report_incarnation(&name(), &report(2, 0, of));
+        let told = gateway.apply_report_incarnation(&name(), &report(2, 0, of));
         assert_eq!(told, expected);
         assert_eq!(known_life(&gateway), Some(known));
         assert_eq!(weights(&gateway), Some(has));
@@ -584,7 +584,7 @@
         gateway.note_source_disruption(ItemKind::Engines, FAILURES_OF_TROUBLE);
         change(&gateway, ItemChange::Gone(ENGINE.to_owned()));
         assert_eq!(known_life(&gateway), Some(FIRST), "it may come back");
-        gateway.take_report_incarnation(&name(), &report(2, 0, SECOND));
+        gateway.apply_report_incarnation(&name(), &report(2, 0, SECOND));
         assert_eq!(known_life(&gateway), Some(SECOND));
         sleep(LONG_AFTER).await;
         gateway.remove_unlisted();
--- a/crates/gateway/tests/following.rs
+++ b/crates/gateway/tests/following.rs
@@ -270,7 +270,7 @@
     sleep(Duration::from_millis(100)).await;
     configure(&others[0], table(4, Vec::new()));
     let (_, question) = gateway.next_question().expect("relies on another");
-    gateway.take_answer(others[0].answer_question(&question));
+    gateway.apply_answer(others[0].answer_question(&question));
     sleep(Duration::from_millis(100)).await;
     gateway
 }
--- a/crates/gateway/tests/handing_on.rs
+++ b/crates/gateway/tests/handing_on.rs
@@ -46,7 +46,7 @@
             panic!("not a chunk");
         };
         pieces += 1;
-        next = first.take_configuration_chunk(chunk);
+        next = first.apply_configuration_chunk(chunk);
     }
     pieces
 }
@@ -100,15 +100,15 @@
             fetch
         );
         let (_, second_fetch) = first
-            .take_configuration_chunk(chunk.clone())
+            .apply_configuration_chunk(chunk.clone())
             .expect("goes on");
         assert_eq!(second_fetch.offset, chunk.text.len());
         let middle = second
             .answer_configuration_fetch(&second_fetch)
             .expect("answers");
-        first.take_configuration_chunk(middle.clone());
+        first.apply_configuration_chunk(middle.clone());
         // The same piece once more, out of its order.
-        first.take_configuration_chunk(middle);
+        first.apply_configuration_chunk(middle);
         sleep(Duration::from_millis(250)).await;
         assert_eq!(hand_over(&first, &second), 1);
         assert_eq!(version(&first), Some(2));
@@ -122,16 +122,16 @@
         first.note_source_disruption(ItemKind::Configuration, 1);
         let (_, fetch) = first.next_configuration_fetch().expect("asks");
         let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
-        let (_, fetch) = first.take_configuration_chunk(chunk).expect("goes on");
+        let (_, fetch) = first.apply_configuration_chunk(chunk).expect("goes on");
         configure(
             &second,
             table(3, Vec::new()).with_document(format!("{:>9000}", 3)),
         );
         let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
         assert_eq!((chunk.version, chunk.offset), (3, 0));
-        let (_, fetch) = first.take_configuration_chunk(chunk).expect("goes on");
+        let (_, fetch) = first.apply_configuration_chunk(chunk).expect("goes on");
         let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
-        assert_eq!(first.take_configuration_chunk(chunk), None);
+        assert_eq!(first.apply_configuration_chunk(chunk), None);
         assert_eq!(version(&first), Some(3));
     });
 }
@@ -143,7 +143,7 @@
         first.note_source_disruption(ItemKind::Configuration, 1);
         let (_, fetch) = first.next_configuration_fetch().expect("asks");
         let chunk = second.answer_configuration_fetch(&fetch).expect("answers");
-        assert_eq!(first.take_configuration_chunk(chunk), None);
+        assert_eq!(first.apply_configuration_chunk(chunk), None);
         assert_eq!(version(&first), Some(1));
     });
 }
--- a/crates/gateway/tests/late_source.rs
+++ b/crates/gateway/tests/late_source.rs
@@ -252,7 +252,7 @@
         let change = ItemChange::Gone("e1".to_owned());
         let batch = |changes, revision| ItemBatch { changes, revision };
         let now = nodes[1].clock().now();
-        nodes[1].take_batch(
+        nodes[1].apply_batch(
             ItemKind::Engines,
             batch(vec![change], FIRST_REVISION + 5),
             Some(now),
@@ -262,7 +262,7 @@
         assert!(is_behind_now());
         sleep(Duration::from_secs(3)).await;
         let asked_at = started_at.after(asked_after);
-        nodes[0].change_items(ItemKind::Engines, Vec::new(), asked_at);
+        nodes[0].apply_changes(ItemKind::Engines, Vec::new(), asked_at);
         assert_eq!(is_behind_now(), is_behind);
     });
 }
--- a/crates/gateway/tests/list_handover.rs
+++ b/crates/gateway/tests/list_handover.rs
@@ -32,7 +32,7 @@
     let nodes: Vec<_> = (0..count).map(node).collect();
     for node in &nodes {
         let items = entries.iter().cloned().map(Item::Engine).collect();
-        node.take_list(
+        node.apply_list(
             ItemKind::Engines,
             items,
             FIRST_REVISION + 1,
@@ -82,7 +82,7 @@
         pieces += 1;
         all_bytes += bytes(&piece);
         assert!(bytes(&piece) < 50_000);
-        next = node.take_list_piece(address, piece, &mut random);
+        next = node.apply_list_piece(address, piece, &mut random);
     }
     (pieces, all_bytes)
 }
@@ -149,21 +149,21 @@
         let (address, first_fetch) = node.next_list_fetch(&mut random).unwrap();
         let holder = holder_at(&others, address);
         let piece = holder.answer_list_fetch(&first_fetch).unwrap();
-        let mut next = node.take_list_piece(address, piece, &mut random);
+        let mut next = node.apply_list_piece(address, piece, &mut random);
         // An engine of the first piece goes meanwhile.
         let gone = ItemBatch {
             changes: vec![ItemChange::Gone("e00003".to_owned())],
             revision: FIRST_REVISION + 5,
         };
-        holder.take_batch(ItemKind::Engines, gone, Some(holder.clock().now()));
+        holder.apply_batch(ItemKind::Engines, gone, Some(holder.clock().now()));
         while let Some((_, fetch)) = next {
             let piece = holder.answer_list_fetch(&fetch).unwrap();
-            next = node.take_list_piece(address, piece, &mut random);
+            next = node.apply_list_piece(address, piece, &mut random);
         }
         let revision = node.state().replicas.of(ItemKind::Engines).revision;
         assert_eq!(revision, Some(FIRST_REVISION + 1));
         let (_, question) = node.next_question().unwrap();
-        node.take_answer(holder.answer_question(&question));
+        node.apply_answer(holder.answer_question(&question));
         let gone = BackEndName::new("e00003");
         assert!(node.state().engines.get(&gone).is_none());
     });
--- a/crates/gateway/tests/release_director.rs
+++ b/crates/gateway/tests/release_director.rs
@@ -276,7 +276,7 @@
         first.kill();
         orders.remove("a");
         let second = ReleaseNode::start("node-2", &orders);
-        second.gateway.take_recorded_grant(grant);
+        second.gateway.apply_recorded_grant(grant);
         second.hold(2);
         second.until_stage("a", Stage::Withdrawn).await;
     });
@@ -325,7 +325,7 @@
         let (grant, _) = first.grant("a").expect("grant");
         first.kill();
         let second = ReleaseNode::start("node-2", &orders);
-        second.gateway.take_recorded_grant(grant);
+        second.gateway.apply_recorded_grant(grant);
         sleep(Duration::from_secs(3)).await;
         second.hold(2);
         sleep(STARTED).await;
@@ -357,7 +357,7 @@
         first.kill();
         orders.is_down.set(false);
         let second = ReleaseNode::start("node-2", &orders);
-        second.gateway.take_recorded_grant(grant);
+        second.gateway.apply_recorded_grant(grant);
         second.hold(2);
         sleep(Duration::from_secs(2)).await;
         assert_eq!(recorded(&orders, "a"), is("v2", Outcome::RolledBack));
@@ -398,7 +398,7 @@
         let (grant, _) = first.grant("a").expect("grant");
         first.kill();
         let second = ReleaseNode::start("node-2", &orders);
-        second.gateway.take_recorded_grant(grant);
+        second.gateway.apply_recorded_grant(grant);
         // A quarter of the answers fails, so that the node sends nothing more there and sees nothing new.
         for _ in 0..25 {
             second.fail_target("a");
@@ -424,7 +424,7 @@
         let (grant, _) = first.grant("a").expect("grant");
         first.kill();
         let second = ReleaseNode::start("node-2", &orders);
-        second.gateway.take_recorded_grant(grant);
+        second.gateway.apply_recorded_grant(grant);
         // The version got nothing in the meantime. Now its answers are bad, and news of them take a while.
         sleep(Duration::from_secs(3)).await;
         second.hold(2);
@@ -456,7 +456,7 @@
         first.kill();
         orders.fault.set(RecordFault::None);
         let second = ReleaseNode::start("node-2", &orders);
-        second.gateway.take_recorded_grant(grant);
+        second.gateway.apply_recorded_grant(grant);
         second.hold(2);
         sleep(STARTED).await;
         assert_eq!(second.stage("a"), Some(Stage::Trial));
--- a/crates/gateway/tests/release_lease.rs
+++ b/crates/gateway/tests/release_lease.rs
@@ -79,7 +79,7 @@
         let (own, other) = (&self.node.gateway, &other.node.gateway);
         other.receive_peer_message(own.peer_message(true));
         for grant in own.known_grants() {
-            other.take_recorded_grant(grant);
+            other.apply_recorded_grant(grant);
         }
     }
 }
--- a/crates/gateway/tests/release_orders.rs
+++ b/crates/gateway/tests/release_orders.rs
@@ -214,7 +214,7 @@
         holder.hold(1);
         holder.gateway.note_orders_known();
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.take_recorded_grant(granted(&order, 2));
+        node.gateway.apply_recorded_grant(granted(&order, 2));
         hear_holder(&node, &holder, Duration::from_secs(2)).await;
         assert_eq!(orders.take_calls().all(), 0);
         hear_holder(&node, &holder, Duration::from_secs(20)).await;
@@ -240,7 +240,7 @@
         let holder = ReleaseNode::start_with("node-0", &orders, None);
         holder.hold(1);
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.take_recorded_grant(granted(&order, 1));
+        node.gateway.apply_recorded_grant(granted(&order, 1));
         hear_holder(&node, &holder, Duration::from_secs(5)).await;
         assert_eq!(node.stage("a"), Some(Stage::Withdrawn));
     });
@@ -255,7 +255,7 @@
         let holder = ReleaseNode::start_with("node-0", &orders, None);
         holder.hold(1);
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.take_recorded_grant(granted(&order, 1));
+        node.gateway.apply_recorded_grant(granted(&order, 1));
         hear_holder(&node, &holder, Duration::from_secs(5)).await;
         let (grant, _) = node.grant("a").expect("grant");
         assert_eq!((grant.order, grant.stage), (newer.clone(), Stage::Trial));
@@ -281,11 +281,11 @@
 #[test]
 fn order_that_is_gone_does_not_come_back_with_a_late_answer() {
     let mut orders = Orders::default();
-    orders.take_list(ReleaseList {
+    orders.apply_list(ReleaseList {
         releases: vec![release("v2", 5)],
         revision: 6,
     });
-    orders.take_batch(ReleaseBatch {
+    orders.apply_batch(ReleaseBatch {
         changes: vec![ReleaseChange::Gone("a".into())],
         revision: 9,
     });
@@ -299,12 +299,12 @@
 #[test]
 fn older_news_of_an_order_change_nothing() {
     let mut orders = Orders::default();
-    orders.take_list(ReleaseList {
+    orders.apply_list(ReleaseList {
         releases: vec![release("v2", 5)],
         revision: 6,
     });
     orders.take_recorded(release("v3", 9));
-    orders.take_batch(ReleaseBatch {
+    orders.apply_batch(ReleaseBatch {
         changes: vec![
             ReleaseChange::Ordered(release("v2", 7)),
             ReleaseChange::Gone("a".into()),
--- a/crates/gateway/tests/silent_review.rs
+++ b/crates/gateway/tests/silent_review.rs
@@ -166,7 +166,7 @@
             changes,
             revision: 101,
         };
-        nodes[0].take_batch(ItemKind::Weights, batch, Some(now));
+        nodes[0].apply_batch(ItemKind::Weights, batch, Some(now));
         let proven_at = |index: usize| {
             let state = nodes[index].state();
             state
@@ -193,9 +193,9 @@
             revision: 101,
         };
         let now = reader.clock().now();
-        reader.take_batch(ItemKind::Weights, batch, Some(now));
+        reader.apply_batch(ItemKind::Weights, batch, Some(now));
         let (_, question) = relying.next_question().expect("relies on the reader");
-        relying.take_answer(reader.answer_question(&question));
+        relying.apply_answer(reader.answer_question(&question));
         let revision = relying.state().replicas.of(ItemKind::Weights).revision;
         assert_eq!(revision, Some(101));
         // The others leave, until two are left.
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -34,10 +34,10 @@
     let gateway = gateway_with(own);
     let now = gateway.clock().now();
     configure(&gateway, table(1, Vec::new()));
-    gateway.take_list(ItemKind::Weights, Vec::new(), FIRST_REVISION, now);
+    gateway.apply_list(ItemKind::Weights, Vec::new(), FIRST_REVISION, now);
     let entry = engine("e1", "127.0.0.1:1".parse().unwrap(), 1);
     let list = vec![Item::Engine(entry)];
-    gateway.take_list(ItemKind::Engines, list, FIRST_REVISION, now);
+    gateway.apply_list(ItemKind::Engines, list, FIRST_REVISION, now);
     gateway
 }
 
--- a/crates/gateway/tests/support/followers.rs
+++ b/crates/gateway/tests/support/followers.rs
@@ -121,7 +121,7 @@
         while let Some((address, fetch)) = next {
             let holder = self.node_at(index, address);
             let chunk = holder.and_then(|holder| holder.answer_configuration_fetch(&fetch));
-            next = chunk.and_then(|chunk| self.nodes[index].take_configuration_chunk(chunk));
+            next = chunk.and_then(|chunk| self.nodes[index].apply_configuration_chunk(chunk));
         }
     }
 
@@ -139,7 +139,7 @@
             return;
         };
         let answer = reader.answer_question(&question);
-        self.nodes[index].take_answer(answer);
+        self.nodes[index].apply_answer(answer);
     }
 
     fn are_connected(&self, one: usize, other: usize) -> bool {
--- a/crates/gateway/tests/support/gateway_bench.rs
+++ b/crates/gateway/tests/support/gateway_bench.rs
@@ -101,7 +101,7 @@
 pub fn configure(gateway: &Gateway, table: RoutingTable) {
     let change = ItemChange::Present(Item::Configuration(Rc::new(table)));
     let now = gateway.clock().now();
-    gateway.change_items(ItemKind::Configuration, vec![change], now);
+    gateway.apply_changes(ItemKind::Configuration, vec![change], now);
 }
 
 /// Gives a gateway the whole list of engines.
--- a/crates/gateway/tests/support/region_fleet.rs
+++ b/crates/gateway/tests/support/region_fleet.rs
@@ -205,7 +205,7 @@
                 self.send(to, back, Datagram::Answer(answer));
             }
             Datagram::Answer(answer) => {
-                let has_more = gateway.take_answer(answer);
+                let has_more = gateway.apply_answer(answer);
                 if has_more && let Some((reader, question)) = gateway.next_question() {
                     self.send(to, reader, Datagram::Question(question));
                 }
@@ -216,7 +216,7 @@
                 }
             }
             Datagram::Chunk(chunk) => {
-                if let Some((address, fetch)) = gateway.take_configuration_chunk(chunk) {
+                if let Some((address, fetch)) = gateway.apply_configuration_chunk(chunk) {
                     self.send(to, address, Datagram::Fetch(fetch));
                 }
             }
@@ -226,7 +226,7 @@
                 }
             }
             Datagram::ListPiece(piece) => {
-                let next = gateway.take_list_piece(back, piece, &mut rand::rng());
+                let next = gateway.apply_list_piece(back, piece, &mut rand::rng());
                 if let Some((address, fetch)) = next {
                     self.send(to, address, Datagram::ListFetch(fetch));
                 }
--- a/crates/gateway/tests/unusable_entries.rs
+++ b/crates/gateway/tests/unusable_entries.rs
@@ -32,7 +32,7 @@
     let changes = vec![ItemChange::Present(change)];
     let batch = ItemBatch { changes, revision };
     let now = gateway.clock().now();
-    gateway.take_batch(ItemKind::Engines, batch, Some(now));
+    gateway.apply_batch(ItemKind::Engines, batch, Some(now));
 }
 
 fn trouble(gateway: &Gateway) {
@@ -53,7 +53,7 @@
             true => {
                 let items = vec![unusable(), Item::Engine(entry(OTHER))];
                 let now = gateway.clock().now();
-                gateway.take_list(ItemKind::Engines, items, FIRST_REVISION, now);
+                gateway.apply_list(ItemKind::Engines, items, FIRST_REVISION, now);
             }
             false => source_tells(&gateway, unusable(), FIRST_REVISION),
         }
@@ -85,7 +85,7 @@
         let (_, question) = other.next_question().unwrap();
         let answer = serde_json::to_vec(&reader.answer_question(&question)).unwrap();
         let answer: Answer = serde_json::from_slice(&answer).unwrap();
-        other.take_answer(answer);
+        other.apply_answer(answer);
         assert!(!knows(other, ENGINE));
     });
 }
@@ -115,7 +115,7 @@
             }),
             ..told
         };
-        other.take_answer(answer);
+        other.apply_answer(answer);
         assert!(!knows(other, ENGINE) && knows(other, OTHER));
     });
 }
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -74,7 +74,7 @@
         let gateway = gateway_with(settings("node-1"));
         let keys = [(1, 100), (2, 300), (3, 900)];
         let keys = keys.map(|(key, tokens)| (PartKey(key), tokens));
-        gateway.note_prompt_read(&Placement {
+        gateway.note_prefill_done(&Placement {
             engine: BackEndName::new("e1"),
             incarnation: None,
             address: "127.0.0.1:1".parse().unwrap(),
