--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -49,7 +49,7 @@
             return;
         };
         let change = engine.condition.hear(&facts.signal, sent_at, now);
-        self.refresh_engine(&mut state, name, now);
+        self.refresh_limit(&mut state, name, now);
         if change.is_news() {
             self.log_change(&state, name, change, now);
             state.signal_updates.insert(name.clone(), TRANSMISSIONS);
@@ -70,12 +70,12 @@
         if signal.is_empty() {
             return;
         }
-        let said = [
+        let signals = [
             ("leaving", signal.is_leaving),
             ("rest", signal.rest.is_some()),
             ("limit", signal.rate_limit.is_some()),
         ];
-        for (kind, _) in said.iter().filter(|(_, is_said)| *is_said) {
+        for (kind, _) in signals.iter().filter(|(_, is_present)| *is_present) {
             self.count_signal(kind);
         }
         if let Some(left_out) = self.signal_sampler().admit(self.clock().now()) {
@@ -165,7 +165,7 @@
             .filter(|name| Some(*name) > last.as_ref());
         let batch: Vec<_> = later.take(MAX_REFRESHED_LIMITS).cloned().collect();
         for name in &batch {
-            self.refresh_engine(&mut state, name, now);
+            self.refresh_limit(&mut state, name, now);
         }
         state.last_refreshed_limit = (batch.len() == MAX_REFRESHED_LIMITS)
             .then(|| batch.last().cloned())
@@ -182,7 +182,7 @@
     ) {
         let engine = state.engines.get(name);
         if engine.is_some_and(|engine| engine.condition.limit().is_some()) {
-            self.refresh_engine(state, name, now);
+            self.refresh_limit(state, name, now);
         }
     }
 
@@ -208,7 +208,7 @@
         }
     }
 
-    fn refresh_engine(&self, state: &mut GatewayState, name: &BackEndName, now: Timestamp) {
+    fn refresh_limit(&self, state: &mut GatewayState, name: &BackEndName, now: Timestamp) {
         let place = self.sender_position(state, name, now);
         let is_limited = state.engines.get_mut(name).is_some_and(|engine| {
             engine.condition.refresh(&place, now);
@@ -226,9 +226,9 @@
     fn sender_position(&self, state: &GatewayState, engine: &BackEndName, now: Timestamp) -> Place {
         let own = &self.settings().identity;
         let zone = state.engines.get(engine).map(|engine| &engine.entry.zone);
-        let heard = state.peers.lately_heard(now);
-        let heard = heard.map(|peer| &peer.identity);
-        let all: Vec<_> = heard.filter(|peer| peer.name != own.name).collect();
+        let recent = state.peers.lately_heard(now);
+        let recent = recent.map(|peer| &peer.identity);
+        let all: Vec<_> = recent.filter(|peer| peer.name != own.name).collect();
         let nodes = self.limit_peers(state, now).nodes.max(all.len() + 1);
         let is_near = |node: &NodeIdentity| Some(&node.zone) == zone;
         let is_anyone_near = is_near(own) || all.iter().any(|peer| is_near(peer));
@@ -318,7 +318,7 @@
                 continue;
             };
             let is_new = engine.condition.merge(&update.report(now));
-            self.refresh_engine(state, &update.engine, now);
+            self.refresh_limit(state, &update.engine, now);
             if is_new && let Some(left_out) = self.signal_sampler().admit(now) {
                 info!(self.log(), "engine_condition_heard"; "engine" => %update.engine,
                     "leaving" => update.is_leaving, "limit" => update.limit,
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -27,8 +27,8 @@
     /// change often.
     pub fn caches_to_follow(&self) -> Vec<(BackEndName, SocketAddr)> {
         let state = self.state();
-        let has_settled = |after| self.uptime() >= after;
-        let may_follow = self.settings().cache_follow_delay.is_some_and(has_settled);
+        let has_run_for = |after| self.uptime() >= after;
+        let may_follow = self.settings().cache_follow_delay.is_some_and(has_run_for);
         if !may_follow || state.node_state != NodeState::Ready || state.peers.is_large() {
             return Vec::new();
         }
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -93,8 +93,8 @@
         };
         // An engine that crashed before this node started remains listed for this time, and the
         // node could not observe the crash.
-        let may_have_ended_before = self.uptime() < lifetime && !engine.has_answered();
-        crash.is_unproven = may_have_ended_before && crash.is_doubtful();
+        let may_have_crashed_before = self.uptime() < lifetime && !engine.has_answered();
+        crash.is_unproven = may_have_crashed_before && crash.is_doubtful();
         let is_unproven = crash.is_unproven;
         drop(state);
         let Some(count) = self.note_poison_crash(digest, crash) else {
@@ -212,8 +212,8 @@
         let now = self.clock().now();
         let state = self.state();
         let names = state.engines.of_pool(pool).map(|engine| &engine.entry.name);
-        let ended = names.filter(|name| self.has_crashed(&state, name, now));
-        ended.cloned().collect()
+        let crashed = names.filter(|name| self.has_crashed(&state, name, now));
+        crashed.cloned().collect()
     }
 
     /// Maximum time for which a crashed engine remains listed.
--- a/crates/gateway/src/gateway/prefill_split.rs
+++ b/crates/gateway/src/gateway/prefill_split.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Prefill tokens that the nodes of this zone bring to each pool, for the other zones.
+    /// Prefill tokens of requests for each pool, summed over the nodes of this zone, for the other
+    /// zones.
     pub(super) fn prefill_of_zone(&self, state: &GatewayState, now: Timestamp) -> Vec<ReadingNews> {
         let mut sums: BTreeMap<PoolName, u32> = BTreeMap::new();
         let own = state.reading_demand.news(now);
--- a/crates/gateway/src/gateway/readers.rs
+++ b/crates/gateway/src/gateway/readers.rs
@@ -34,7 +34,7 @@
     ///
     /// While many engines start, a thousand and more are listed a second. A single node sending
     /// these to two hundred others needs 80 Mbit/s and more (computed, 50 bytes each), and fell
-    /// silent in trials.
+    /// silent.
     fn secondary_reader(
         &self,
         state: &GatewayState,
@@ -56,9 +56,9 @@
         before.sort_unstable_by_key(|other| other.reading_rank());
         let first = xxh3_64(own.name.as_str().as_bytes()) as usize % secondary_readers;
         // The first of all is the reader of the zone, which answers the secondary readers only.
-        let turns =
-            (0..secondary_readers).map(|turn| before[1 + (first + turn) % secondary_readers]);
-        let mut able = turns.filter(|other| state.sync.may_ask(&other.name, now));
+        let candidates =
+            (0..secondary_readers).map(|offset| before[1 + (first + offset) % secondary_readers]);
+        let mut able = candidates.filter(|other| state.sync.may_ask(&other.name, now));
         let chosen = able.next()?;
         Some((chosen.name.clone(), chosen.peer_address))
     }
--- a/crates/gateway/src/gateway/release_admission.rs
+++ b/crates/gateway/src/gateway/release_admission.rs
@@ -120,10 +120,10 @@
 
     /// Judges a finished response. One of the present version also updates the expected response
     /// times.
-    pub fn note_release_answer(&self, watch: &AnswerTiming, end: AnswerEnd) {
+    pub fn note_release_answer(&self, timing: &AnswerTiming, end: AnswerEnd) {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        let has_crashed = self.has_crashed(&state, &watch.engine, now);
+        let has_crashed = self.has_crashed(&state, &timing.engine, now);
         let end = match end {
             // A crash of an engine ends all its runs. Counted one by one, these would outweigh the
             // actual faults of a version.
@@ -131,24 +131,24 @@
             end => end,
         };
         let releases = &mut state.releases;
-        let judgement = watch.judge(end, &releases.paces, now);
-        if releases.is_present(&watch.pool, &watch.software) {
-            watch.teach(end, &mut releases.paces, now);
+        let judgement = timing.judge(end, &releases.paces, now);
+        if releases.is_present(&timing.pool, &timing.software) {
+            timing.teach(end, &mut releases.paces, now);
         }
         let Some(judgement) = judgement else {
             return;
         };
-        releases.note(watch, judgement);
-        let known = releases.of(&watch.pool);
+        releases.note(timing, judgement);
+        let known = releases.of(&timing.pool);
         let is_bad = judgement != ryerouter_core::release::Judgement::Good;
         if !is_bad || known.is_none_or(KnownRelease::is_final) {
             return;
         }
         if let Some(left_out) = self.release_sampler().admit(now) {
-            info!(self.log(), "release_answer_bad"; "pool" => %watch.pool,
-                "engine" => %watch.engine, "software" => &watch.software,
-                "judgement" => ?judgement, "end" => ?end, "events" => watch.events,
-                "after_ms" => now.since(watch.sent_at).as_millis() as u64,
+            info!(self.log(), "release_answer_bad"; "pool" => %timing.pool,
+                "engine" => %timing.engine, "software" => &timing.software,
+                "judgement" => ?judgement, "end" => ?end, "events" => timing.events,
+                "after_ms" => now.since(timing.sent_at).as_millis() as u64,
                 "left_out" => left_out);
         }
     }
--- a/crates/gateway/src/gateway/source_items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -38,7 +38,7 @@
         let asked_at = list.asked_at;
         let is_current = list.consistency == Consistency::Linearizable;
         let confirmed_at = is_current.then_some(asked_at);
-        self.log_list_changes(kind, &list.items, list.revision);
+        self.record_list(kind, &list.items, list.revision);
         let mut state = self.state_mut();
         let has_others = state.peers.alive(now).next().is_some();
         let replica = state.replicas.of_mut(kind);
@@ -60,13 +60,13 @@
         let entries = entries.iter().cloned().map(Item::Engine);
         let unusable = unusable.iter().cloned().map(Item::Unusable);
         let items: Vec<_> = entries.chain(unusable).collect();
-        self.log_list_changes(ItemKind::Engines, &items, revision);
+        self.record_list(ItemKind::Engines, &items, revision);
         self.replace_known(ItemKind::Engines, items, None);
     }
 
-    /// Logs the changes that a list is about to make to the replica, and advances the replica to
-    /// its revision.
-    fn log_list_changes(&self, kind: ItemKind, items: &[Item], revision: u64) {
+    /// Appends the changes that a list is about to make to the change log, and advances the replica
+    /// to the revision of the list.
+    fn record_list(&self, kind: ItemKind, items: &[Item], revision: u64) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         if kind == ItemKind::Engines {
@@ -219,27 +219,28 @@
         if kind == ItemKind::Engines && *error == SourceError::NoAnswer {
             // Entries expire within three heartbeats, so waiting for a second failure would be too
             // late.
-            self.note_engine_list_lost();
+            self.note_engine_list_failure();
         }
         self.note_source_disruption(kind, failures);
     }
 
-    fn note_engine_list_lost(&self) {
+    fn note_engine_list_failure(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         state.engine_list_disrupted_at = Some(now);
         state.is_engine_list_failing = true;
     }
 
-    /// Handles a failed request to the source, whatever the error. A single failure is not yet a
-    /// disruption: it may be a watch that was closed in normal operation.
+    /// Handles the last of `failures` consecutive failed requests to the source, whatever the
+    /// error. A single failure is no disruption: it may be a watch that was closed in normal
+    /// operation.
     pub fn note_source_disruption(&self, kind: ItemKind, failures: u32) {
         self.state_mut().is_source_reachable = false;
         if failures < MIN_DISRUPTION_FAILURES {
             return;
         }
         if kind == ItemKind::Engines {
-            self.note_engine_list_lost();
+            self.note_engine_list_failure();
         }
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -328,8 +329,8 @@
     /// Handles an entry that can't be parsed. Another writer has replaced the engine's entry, which
     /// is no expiry, so the engine is dropped at once even during a disruption of the source.
     fn handle_entry_unusable(&self, name: &BackEndName) {
-        let is_new_state = self.state_mut().unusable_entries.insert(name.clone());
-        if is_new_state {
+        let is_new = self.state_mut().unusable_entries.insert(name.clone());
+        if is_new {
             warn!(self.log(), "engine_unusable"; "engine" => %name);
         }
         self.remove_engine(name);
--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -235,7 +235,7 @@
         Some((caught_up.revision, changes))
     }
 
-    /// Whether the source has answered with no engine list, or with no changes of it, for longer
+    /// Whether the source has not delivered the engine list, or known changes of it, for longer
     /// than it normally takes.
     pub(super) fn wants_list(&self, state: &GatewayState, now: Timestamp) -> bool {
         let replica = state.replicas.of(ItemKind::Engines);
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -48,8 +48,8 @@
             } => {
                 let per_second = limit.per_second;
                 let detail = format!(
-                    "tenant '{tenant}': {asked:.0} a second of {per_second:.0} asked for, \
-                     {amount:.0} here, balance {balance:.0}, share {share:.2}"
+                    "tenant '{tenant}': {asked:.0} a second asked for, limit of {per_second:.0}, \
+                     {amount:.0} by this request, balance {balance:.0}, share {share:.2}"
                 );
                 let refused = &self.metrics().over_limit;
                 refused.with_label_values(&[tenant.as_str()]).inc();
--- a/crates/gateway/src/gateway/zone_relay.rs
+++ b/crates/gateway/src/gateway/zone_relay.rs
@@ -95,7 +95,7 @@
             holders,
             ..self.empty_update()
         };
-        self.updates_for_zone(&state, &update, now)
+        self.envelopes_for_zone(&state, &update, now)
     }
 
     /// Updates that every node of this zone and of all others needs at once: weight loads, stages
@@ -119,9 +119,9 @@
             ..self.empty_update()
         };
         let relays = self.relays(&state, URGENT_RELAYS, now);
-        let mut updates = self.updates_for_zone(&state, &update, now);
-        updates.push((update, relays));
-        updates
+        let mut envelopes = self.envelopes_for_zone(&state, &update, now);
+        envelopes.push((update, relays));
+        envelopes
     }
 
     fn empty_update(&self) -> ZoneUpdate {
@@ -180,7 +180,7 @@
     }
 
     /// An update from another region, addressed to the other zones of this one.
-    fn update_for_region(
+    fn envelope_for_region(
         &self,
         state: &GatewayState,
         update: &ZoneUpdate,
@@ -214,7 +214,7 @@
     /// An update for all other nodes of this zone, in two steps: to the heads of groups, each of
     /// which forwards it to its group. There are about as many groups as nodes in each, so that no
     /// single link carries the update to all nodes.
-    fn updates_for_zone(
+    fn envelopes_for_zone(
         &self,
         state: &GatewayState,
         update: &ZoneUpdate,
@@ -230,7 +230,7 @@
             true => self.urgent_update_groups(&near),
             false => near.chunks(group_length(&near)).collect(),
         };
-        let updates = groups.iter().enumerate().map(|(index, group)| {
+        let envelopes = groups.iter().enumerate().map(|(index, group)| {
             let next = groups.get(index + 1).map(|next| next[0].name.clone());
             let update = ZoneUpdate {
                 pass: Pass::Until(next),
@@ -244,7 +244,7 @@
             let heads = group.iter().take(heads);
             (update, heads.map(|near| near.peer_address).collect())
         });
-        updates.collect()
+        envelopes.collect()
     }
 
     /// Groups for forwarding an urgent update. Two nodes of the zone forward it; nodes at odd
@@ -267,8 +267,8 @@
         groups.filter(|group| !group.is_empty()).collect()
     }
 
-    /// An update for the nodes of this zone that come after this one by name, up to `until`.
-    fn update_until(
+    /// An update for the nodes of this zone that come after this one by name and before `until`.
+    fn envelope_until(
         &self,
         state: &GatewayState,
         update: &ZoneUpdate,
@@ -321,35 +321,35 @@
         let is_other = update.zone != self.settings().identity.zone;
         let takes_loads = is_other || state.peers.is_wide();
         if let Some(loads) = update.loads.as_ref().filter(|_| takes_loads) {
-            let of_this_life = |load: &&EngineLoadUpdate| {
+            let of_this_incarnation = |load: &&EngineLoadUpdate| {
                 !state.is_of_other_incarnation(&load.0, &update.lives, now)
             };
-            let loads: Vec<_> = loads.iter().filter(of_this_life).cloned().collect();
+            let loads: Vec<_> = loads.iter().filter(of_this_incarnation).cloned().collect();
             state.zone_traffic.note(update, loads, now);
             self.note_foreign_loads(&mut state, now);
         }
         self.apply_zone_release_updates(&mut state, update);
         self.apply_poison_updates(&mut state, &update.poison, now);
         self.apply_signal_updates(&mut state, &update.signals, now);
-        let updates = match &update.pass {
+        let envelopes = match &update.pass {
             Pass::Zone if self.is_of_other_region(update) => {
-                let mut updates = self.updates_for_zone(&state, update, now);
-                updates.push(self.update_for_region(&state, update, now));
-                updates
+                let mut envelopes = self.envelopes_for_zone(&state, update, now);
+                envelopes.push(self.envelope_for_region(&state, update, now));
+                envelopes
             }
-            Pass::Zone | Pass::OwnZone => self.updates_for_zone(&state, update, now),
-            Pass::Until(until) => vec![self.update_until(&state, update, until.as_ref())],
+            Pass::Zone | Pass::OwnZone => self.envelopes_for_zone(&state, update, now),
+            Pass::Until(until) => vec![self.envelope_until(&state, update, until.as_ref())],
             Pass::End => Vec::new(),
         };
-        let of_this_life = |weights: &&WeightsUpdate| {
+        let of_this_incarnation = |weights: &&WeightsUpdate| {
             !state.is_of_other_incarnation(&weights.engine, &update.lives, now)
         };
-        let weights: Vec<_> = update.weights.iter().filter(of_this_life).collect();
+        let weights: Vec<_> = update.weights.iter().filter(of_this_incarnation).collect();
         drop(state);
         for weights in weights {
             self.apply_weights_update(weights);
         }
-        updates
+        envelopes
     }
 
     fn is_of_other_region(&self, update: &ZoneUpdate) -> bool {
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -84,7 +84,7 @@
             }
             () = sleep_until(urgent_at.unwrap_or_else(Instant::now)), if urgent_at.is_some() => {
                 urgent_at = None;
-                send_zone_updates(&gateway, &socket, gateway.next_urgent_updates());
+                send_envelopes(&gateway, &socket, gateway.next_urgent_updates());
                 tell(&gateway, &socket, TICKS_PER_HEARTBEAT_OF_MANY);
             }
         }
@@ -121,7 +121,7 @@
             send_list_fetch(gateway, socket, next);
         }
         Ok(Datagram::Zone(news)) => {
-            send_zone_updates(gateway, socket, gateway.receive_zone_update(&news));
+            send_envelopes(gateway, socket, gateway.receive_zone_update(&news));
         }
         Err(error) => debug!(gateway.log(), "peer_message_unreadable";
             "from" => %from, "error" => %error),
@@ -157,17 +157,17 @@
 fn tell_zones(gateway: &Rc<Gateway>, socket: &UdpSocket, tick: u64) {
     let with_loads = tick.is_multiple_of(ticks_per_heartbeat(gateway));
     if with_loads {
-        send_zone_updates(gateway, socket, gateway.next_own_zone_updates());
+        send_envelopes(gateway, socket, gateway.next_own_zone_updates());
     }
-    send_zone_updates(gateway, socket, gateway.next_zone_update(with_loads));
+    send_envelopes(gateway, socket, gateway.next_zone_update(with_loads));
 }
 
-fn send_zone_updates(
+fn send_envelopes(
     gateway: &Gateway,
     socket: &UdpSocket,
-    parcels: impl IntoIterator<Item = Envelope>,
+    envelopes: impl IntoIterator<Item = Envelope>,
 ) {
-    for (news, receivers) in parcels {
+    for (news, receivers) in envelopes {
         send(gateway, socket, &Datagram::Zone(news), &receivers);
     }
 }
--- a/crates/gateway/tests/poison_news.rs
+++ b/crates/gateway/tests/poison_news.rs
@@ -139,9 +139,9 @@
         introduce(&nodes);
         tell(&nodes[3], &nodes[4], vec![three_ends(["a", "b", "c"])]);
         nodes[3].state_mut().poison_news.insert(DIGEST, 1);
-        let parcels = nodes[3].next_urgent_updates();
-        let first: usize = parcels.iter().map(|parcel| parcel.1.len()).sum();
-        let passed_on: usize = deliver(&nodes, parcels).iter().sum();
+        let envelopes = nodes[3].next_urgent_updates();
+        let first: usize = envelopes.iter().map(|parcel| parcel.1.len()).sum();
+        let passed_on: usize = deliver(&nodes, envelopes).iter().sum();
         let held_back = nodes.iter().filter(|node| is_held_back(node)).count();
         assert_eq!(held_back, nodes.len());
         assert!(first + passed_on <= 3 * nodes.len(), "{first} {passed_on}");
--- a/crates/gateway/tests/releases_news.rs
+++ b/crates/gateway/tests/releases_news.rs
@@ -105,9 +105,9 @@
     }
 }
 
-fn without(nodes: &[Rc<Gateway>], dead: &[usize], parcels: Vec<Envelope>) -> Vec<Envelope> {
+fn without(nodes: &[Rc<Gateway>], dead: &[usize], envelopes: Vec<Envelope>) -> Vec<Envelope> {
     let lives = |address: &std::net::SocketAddr| !dead.contains(&index_of(nodes, *address));
-    let living = parcels.into_iter().map(|(news, to)| {
+    let living = envelopes.into_iter().map(|(news, to)| {
         let to = to.into_iter().filter(lives).collect();
         (news, to)
     });
@@ -125,9 +125,9 @@
     run_paused(async move {
         let nodes = two_zones().await;
         nodes[0].publish_grant(grant(Stage::RolledBack, 0.0, 1));
-        let parcels = without(&nodes, dead, nodes[0].next_urgent_updates());
-        assert!(!parcels.is_empty());
-        deliver(&nodes, parcels);
+        let envelopes = without(&nodes, dead, nodes[0].next_urgent_updates());
+        assert!(!envelopes.is_empty());
+        deliver(&nodes, envelopes);
         let living = (0..nodes.len()).filter(|index| !dead.contains(index));
         let ignorant: Vec<_> = living
             .filter(|index| stage_at(&nodes[*index]) != Some(Stage::RolledBack))
@@ -143,8 +143,8 @@
         let nodes = two_zones().await;
         let dead = [6, 7];
         nodes[0].publish_grant(grant(Stage::RolledBack, 0.0, 1));
-        let parcels = without(&nodes, &dead, nodes[0].next_urgent_updates());
-        deliver(&nodes, parcels);
+        let envelopes = without(&nodes, &dead, nodes[0].next_urgent_updates());
+        deliver(&nodes, envelopes);
         let mut random = StdRng::seed_from_u64(1);
         // Heartbeats are 0.3 s apart.
         for _ in 0..3 {
--- a/crates/gateway/tests/releases_regions.rs
+++ b/crates/gateway/tests/releases_regions.rs
@@ -37,9 +37,9 @@
 }
 
 /// Delivers news, but none to a node that is dead.
-fn deliver_to_living(nodes: &[Rc<Gateway>], dead: Option<usize>, parcels: Vec<Envelope>) {
+fn deliver_to_living(nodes: &[Rc<Gateway>], dead: Option<usize>, envelopes: Vec<Envelope>) {
     let dead = dead.map(|index| nodes[index].settings().identity.peer_address);
-    let mut waiting = parcels;
+    let mut waiting = envelopes;
     while let Some((news, receivers)) = waiting.pop() {
         for receiver in receivers.into_iter().filter(|to| Some(*to) != dead) {
             let to = addresses(nodes).iter().position(|each| *each == receiver);
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -92,8 +92,8 @@
 }
 
 /// Delivers zone news, and what is passed on; tells how many messages each node has sent on.
-pub fn deliver(nodes: &[Rc<Gateway>], parcels: Vec<Envelope>) -> Vec<usize> {
-    let mut waiting = parcels;
+pub fn deliver(nodes: &[Rc<Gateway>], envelopes: Vec<Envelope>) -> Vec<usize> {
+    let mut waiting = envelopes;
     let mut sent = vec![0; nodes.len()];
     while let Some((news, receivers)) = waiting.pop() {
         for receiver in receivers {
--- a/crates/gateway/tests/support/region_fleet.rs
+++ b/crates/gateway/tests/support/region_fleet.rs
@@ -118,9 +118,9 @@
                     self.tell(index, tick);
                     let with_loads = tick % TICKS_PER_HEARTBEAT == 0;
                     if with_loads {
-                        self.send_zone_updates(index, gateway.next_own_zone_updates());
+                        self.send_envelopes(index, gateway.next_own_zone_updates());
                     }
-                    self.send_zone_updates(index, gateway.next_zone_update(with_loads));
+                    self.send_envelopes(index, gateway.next_zone_update(with_loads));
                     if let Some((address, fetch)) = gateway.next_list_fetch(&mut rand::rng()) {
                         self.send(index, address, Datagram::ListFetch(fetch));
                     }
@@ -136,7 +136,7 @@
                 }
                 () = gateway.peer_send_requested() => {
                     sleep(GATHER).await;
-                    self.send_zone_updates(index, gateway.next_urgent_updates());
+                    self.send_envelopes(index, gateway.next_urgent_updates());
                     self.tell(index, TICKS_PER_HEARTBEAT);
                 }
             }
@@ -161,12 +161,8 @@
         }
     }
 
-    fn send_zone_updates(
-        self: &Rc<Self>,
-        from: usize,
-        parcels: impl IntoIterator<Item = Envelope>,
-    ) {
-        for (news, receivers) in parcels {
+    fn send_envelopes(self: &Rc<Self>, from: usize, envelopes: impl IntoIterator<Item = Envelope>) {
+        for (news, receivers) in envelopes {
             for receiver in receivers {
                 self.send(from, receiver, Datagram::Zone(news.clone()));
             }
@@ -231,7 +227,7 @@
                     self.send(to, address, Datagram::ListFetch(fetch));
                 }
             }
-            Datagram::Zone(news) => self.send_zone_updates(to, gateway.receive_zone_update(&news)),
+            Datagram::Zone(news) => self.send_envelopes(to, gateway.receive_zone_update(&news)),
         }
     }
 
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -115,9 +115,9 @@
         };
         assert_eq!(taking(), nodes.len());
         nodes[3].note_loading(&engine, "model", 2, Duration::from_secs(3));
-        let parcels = nodes[3].next_urgent_updates();
-        let first: usize = parcels.iter().map(|parcel| parcel.1.len()).sum();
-        let sent = deliver(&nodes, parcels);
+        let envelopes = nodes[3].next_urgent_updates();
+        let first: usize = envelopes.iter().map(|parcel| parcel.1.len()).sum();
+        let sent = deliver(&nodes, envelopes);
         assert_eq!(taking(), 0);
         // No node sends to all of a zone: twice its square root, and two in the other zone.
         let most = sent.iter().max().copied().unwrap().max(first);
