--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 mod prefill_split;
 mod published_weights;
 mod readers;
-mod release_admission;
+mod release_intake;
 mod release_orders;
 mod release_updates;
 mod releases;
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -7,7 +7,7 @@
 use ryerouter_core::release::{Counts, Fleet, Grant, Order, Progress, Settings, Stage};
 use slog::info;
 
-use super::release_admission::{note_all_replaced, note_replaced};
+use super::release_intake::{note_all_replaced, note_replaced};
 use super::{Gateway, GatewayState};
 use crate::engines::Engine;
 
