--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -1,4 +1,4 @@
-//! What engines say of themselves in their answers; see docs/design/backpressure.md.
+//! Applies backpressure signals in the responses of engines; see docs/design/backpressure.md.
 
 use std::time::Duration;
 
@@ -9,24 +9,25 @@
 use slog::{info, warn};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::news_queue::{part_of_turn, take_news};
+use super::update_queue::{rotating_part, take_pending};
 use super::{Gateway, GatewayState};
 use crate::engines::{Engine, IncarnationOrder};
-use crate::peers::{NodeIdentity, SignalNews};
+use crate::peers::{NodeIdentity, SignalUpdate};
 use crate::request::AnswerFacts;
 
-/// Most engines that one message tells of; more wait for the next.
-const MOST_NEWS: usize = 32;
-/// Most engines that an introduction tells of: others with the next.
-const MOST_IN_INTRODUCTION: usize = 16;
-/// News are told so often where they go to each node directly: a datagram may be lost. Elsewhere they are passed
-/// on by two nodes of each zone.
-const TELLINGS: u32 = 3;
-/// Most limits whose shares are computed anew at once; the others follow by turns.
-const MOST_REFRESHED: usize = 32;
+/// Maximum number of engines that one message reports; more wait for the next.
+const MAX_UPDATES_PER_MESSAGE: usize = 32;
+/// Maximum number of engines' signals in a full update; the next one carries others.
+const MAX_PER_FULL_UPDATE: usize = 16;
+/// Transmissions of an update where messages go to each node directly, since a datagram may be
+/// lost. In larger deployments two nodes of each zone forward updates instead.
+const TRANSMISSIONS: u32 = 3;
+/// Maximum number of limits whose shares are recomputed in one pass; the others follow in the next
+/// passes.
+const MAX_REFRESHED_LIMITS: usize = 32;
 
 impl Gateway {
-    /// Takes what the answer to a request that was sent at `sent_at` says of its engine.
+    /// Applies the signals in the response to a request that was sent at `sent_at`.
     pub fn note_signal(
         &self,
         request: &str,
@@ -40,7 +41,7 @@
         let Some(engine) = state.engines.get(name) else {
             return;
         };
-        // Nearly all answers of nearly all engines say nothing.
+        // Nearly all responses carry no signal.
         if facts.signal.is_empty() && engine.condition.limit().is_none() {
             return;
         }
@@ -48,12 +49,12 @@
             return;
         };
         let change = engine.condition.apply_signal(&facts.signal, sent_at, now);
-        self.refresh_engine(&mut state, name, now);
+        self.refresh_limit(&mut state, name, now);
         if change.needs_report() {
             self.log_change(&state, name, change, now);
-            state.signal_news.insert(name.clone(), TELLINGS);
+            state.signal_updates.insert(name.clone(), TRANSMISSIONS);
             drop(state);
-            self.tell_peers_soon();
+            self.request_peer_send();
         }
     }
 
@@ -69,12 +70,12 @@
         if signal.is_empty() {
             return;
         }
-        let said = [
+        let signals = [
             ("leaving", signal.is_leaving),
             ("rest", signal.backoff.is_some()),
             ("limit", signal.rate_limit.is_some()),
         ];
-        for (kind, _) in said.iter().filter(|(_, is_said)| *is_said) {
+        for (kind, _) in signals.iter().filter(|(_, is_present)| *is_present) {
             self.count_signal(kind);
         }
         if let Some(left_out) = self.signal_sampler().admit(self.clock().now()) {
@@ -104,7 +105,7 @@
             "share" => limit.map(|limit| limit.share()), "left_out" => left_out);
     }
 
-    /// A request is sent to an engine.
+    /// Counts a request sent to an engine against the engine's rate limit, if it has one.
     pub(crate) fn note_request_sent(&self, name: &BackEndName) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -116,9 +117,9 @@
         }
     }
 
-    /// How long until one of the barred engines of a pool may be sent something again; `None` while one takes work, or
-    /// when nothing is known.
-    pub fn next_opening(&self, pool: &PoolName) -> Option<Duration> {
+    /// Time until one of the excluded engines of a pool may be sent a request again; `None` while
+    /// any engine takes requests, or when no such time is known.
+    pub fn shortest_exclusion(&self, pool: &PoolName) -> Option<Duration> {
         let now = self.clock().now();
         let state = self.state();
         if state
@@ -128,13 +129,13 @@
         {
             return None;
         }
-        let bars = bars_of(&state, pool, now);
-        let openings = bars.filter_map(|bar| bar.until);
-        Some(openings.min()?.since(now))
+        let exclusions = exclusions_of(&state, pool, now);
+        let until = exclusions.filter_map(|exclusion| exclusion.until);
+        Some(until.min()?.since(now))
     }
 
-    /// How many engines of a pool are barred, and by what, in words; `None` when none is.
-    pub(crate) fn barred_engines(&self, pool: &PoolName) -> Option<String> {
+    /// Numbers of excluded engines of a pool by reason, as text; `None` when none is excluded.
+    pub(crate) fn excluded_engines(&self, pool: &PoolName) -> Option<String> {
         let now = self.clock().now();
         let state = self.state();
         let counts = [
@@ -143,38 +144,41 @@
             ExclusionReason::Limited,
         ]
         .map(|reason| {
-            let bars = bars_of(&state, pool, now).filter(|bar| bar.reason == reason);
-            (reason, bars.count())
+            let exclusions =
+                exclusions_of(&state, pool, now).filter(|exclusion| exclusion.reason == reason);
+            (reason, exclusions.count())
         });
-        let told = counts.iter().filter(|(_, count)| *count > 0);
-        let told: Vec<_> = told
+        let excluded = counts.iter().filter(|(_, count)| *count > 0);
+        let excluded: Vec<_> = excluded
             .map(|(reason, count)| format!("{count} {reason}"))
             .collect();
-        (!told.is_empty()).then(|| told.join(", "))
+        (!excluded.is_empty()).then(|| excluded.join(", "))
     }
 
-    /// Divides the limits of engines anew, since nodes come and go, and forgets those that must be over.
+    /// Recomputes this node's shares of engines' limits, since nodes join and leave, and drops
+    /// limits that must have ended.
     pub fn refresh_limits(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         if state.limited_engines.is_empty() {
             return;
         }
-        let last = state.last_refreshed.take();
+        let last = state.last_refreshed_limit.take();
         let later = state
             .limited_engines
             .iter()
             .filter(|name| Some(*name) > last.as_ref());
-        let turn: Vec<_> = later.take(MOST_REFRESHED).cloned().collect();
-        for name in &turn {
-            self.refresh_engine(&mut state, name, now);
+        let batch: Vec<_> = later.take(MAX_REFRESHED_LIMITS).cloned().collect();
+        for name in &batch {
+            self.refresh_limit(&mut state, name, now);
         }
-        state.last_refreshed = (turn.len() == MOST_REFRESHED)
-            .then(|| turn.last().cloned())
+        state.last_refreshed_limit = (batch.len() == MAX_REFRESHED_LIMITS)
+            .then(|| batch.last().cloned())
             .flatten();
     }
 
-    /// An engine whose entry had gone may have named a limit before.
+    /// Recomputes the share of the limit of an engine that is listed again, if it advertised one
+    /// before its entry was removed.
     pub(super) fn note_listed_again(
         &self,
         state: &mut GatewayState,
@@ -183,7 +187,7 @@
     ) {
         let engine = state.engines.get(name);
         if engine.is_some_and(|engine| engine.condition.limit().is_some()) {
-            self.refresh_engine(state, name, now);
+            self.refresh_limit(state, name, now);
         }
     }
 
@@ -209,8 +213,8 @@
         }
     }
 
-    fn refresh_engine(&self, state: &mut GatewayState, name: &BackEndName, now: Timestamp) {
-        let place = self.place_before(state, name, now);
+    fn refresh_limit(&self, state: &mut GatewayState, name: &BackEndName, now: Timestamp) {
+        let place = self.sender_position(state, name, now);
         let is_limited = state.engines.get_mut(name).is_some_and(|engine| {
             engine.condition.refresh(&place, now);
             engine.condition.limit().is_some()
@@ -221,9 +225,10 @@
         };
     }
 
-    /// The place of this node among those that may send to an engine. Silent nodes keep theirs until they are forgotten:
-    /// they may only be cut off from this one.
-    fn place_before(
+    /// The position of this node among those that may send requests to an engine. Silent nodes keep
+    /// theirs until they are dropped from the peer table, since they may only be isolated from this
+    /// node.
+    fn sender_position(
         &self,
         state: &GatewayState,
         engine: &BackEndName,
@@ -231,9 +236,9 @@
     ) -> SenderPosition {
         let own = &self.settings().identity;
         let zone = state.engines.get(engine).map(|engine| &engine.entry.zone);
-        let heard = state.peers.lately_heard(now);
-        let heard = heard.map(|peer| &peer.identity);
-        let all: Vec<_> = heard.filter(|peer| peer.name != own.name).collect();
+        let recent = state.peers.lately_heard(now);
+        let recent = recent.map(|peer| &peer.identity);
+        let all: Vec<_> = recent.filter(|peer| peer.name != own.name).collect();
         let nodes = self.limit_peers(state, now).nodes.max(all.len() + 1);
         let is_near = |node: &NodeIdentity| Some(&node.zone) == zone;
         let is_anyone_near = is_near(own) || all.iter().any(|peer| is_near(peer));
@@ -259,100 +264,105 @@
         }
     }
 
-    /// What to tell other nodes with a message; with an introduction also what is known for longer.
-    pub(super) fn signal_news(
+    /// The updates for the next message to other nodes; a full update also carries signals known
+    /// for longer.
+    pub(super) fn signal_updates(
         &self,
         state: &mut GatewayState,
-        is_introduction: bool,
+        is_full_update: bool,
         now: Timestamp,
-    ) -> Vec<SignalNews> {
-        let mut told = match state.peers.is_large() {
+    ) -> Vec<SignalUpdate> {
+        let mut names = match state.peers.is_large() {
             true => Vec::new(),
-            false => take_news(&mut state.signal_news, MOST_NEWS, 1),
+            false => take_pending(&mut state.signal_updates, MAX_UPDATES_PER_MESSAGE, 1),
         };
-        if is_introduction {
-            told.extend(signalled_of_turn(state));
-            told.sort_unstable();
-            told.dedup();
+        if is_full_update {
+            names.extend(signalling_engines_in_rotation(state));
+            names.sort_unstable();
+            names.dedup();
         }
-        news_of(state, &told, now)
+        updates_of(state, &names, now)
     }
 
-    /// News that every node of a large deployment needs soon.
+    /// Takes the updates that every node of a large deployment needs soon.
     pub(super) fn take_urgent_signals(
         &self,
         state: &mut GatewayState,
         now: Timestamp,
-    ) -> Vec<SignalNews> {
+    ) -> Vec<SignalUpdate> {
         if !state.peers.is_large() {
             return Vec::new();
         }
-        let told = take_news(&mut state.signal_news, MOST_NEWS, TELLINGS);
-        if !state.signal_news.is_empty() {
-            // What this message does not hold is as urgent.
-            self.tell_peers_soon();
+        let names = take_pending(
+            &mut state.signal_updates,
+            MAX_UPDATES_PER_MESSAGE,
+            TRANSMISSIONS,
+        );
+        if !state.signal_updates.is_empty() {
+            // The updates that did not fit into this message are just as urgent.
+            self.request_peer_send();
         }
-        news_of(state, &told, now)
+        updates_of(state, &names, now)
     }
 
-    /// Takes what another node tells.
-    pub(super) fn take_signal_news(
+    /// Applies updates received from another node.
+    pub(super) fn apply_signal_updates(
         &self,
         state: &mut GatewayState,
-        news: &[SignalNews],
+        updates: &[SignalUpdate],
         now: Timestamp,
     ) {
-        for told in news {
+        for update in updates {
             let is_same_life = |engine: &&Engine| {
-                IncarnationOrder::new(engine.entry.incarnation, told.incarnation)
+                IncarnationOrder::new(engine.entry.incarnation, update.incarnation)
                     == IncarnationOrder::Same
             };
             if state
                 .engines
-                .get(&told.engine)
+                .get(&update.engine)
                 .filter(is_same_life)
                 .is_none()
             {
                 continue;
             }
-            let Some(engine) = state.engines.get_mut(&told.engine) else {
+            let Some(engine) = state.engines.get_mut(&update.engine) else {
                 continue;
             };
-            let is_news = engine.condition.merge(&told.report(now));
-            self.refresh_engine(state, &told.engine, now);
-            if is_news && let Some(left_out) = self.signal_sampler().admit(now) {
-                info!(self.log(), "engine_condition_heard"; "engine" => %told.engine,
-                    "leaving" => told.is_leaving, "limit" => told.limit,
-                    "age_ms" => told.limit_age_ms, "left_out" => left_out);
+            let is_new = engine.condition.merge(&update.report(now));
+            self.refresh_limit(state, &update.engine, now);
+            if is_new && let Some(left_out) = self.signal_sampler().admit(now) {
+                info!(self.log(), "engine_condition_heard"; "engine" => %update.engine,
+                    "leaving" => update.is_leaving, "limit" => update.limit,
+                    "age_ms" => update.limit_age_ms, "left_out" => left_out);
             }
         }
     }
 }
 
-fn bars_of<'a>(
+fn exclusions_of<'a>(
     state: &'a GatewayState,
     pool: &PoolName,
     now: Timestamp,
 ) -> impl Iterator<Item = Exclusion> + use<'a> {
     let engines: Vec<_> = state.engines.of_pool(pool).collect();
-    let bars = engines.into_iter();
-    bars.filter_map(move |engine| engine.condition.exclusion(now))
+    let exclusions = engines.into_iter();
+    exclusions.filter_map(move |engine| engine.condition.exclusion(now))
 }
 
-/// Some of the engines that this node has heard something of, others with each message.
-fn signalled_of_turn(state: &mut GatewayState) -> Vec<BackEndName> {
+/// The part of the engines with known signals that this full update carries; each carries another.
+fn signalling_engines_in_rotation(state: &mut GatewayState) -> Vec<BackEndName> {
     let has_seen = |engine: &&Engine| engine.condition.report().is_some();
     let signalled = state.engines.iter().filter(has_seen);
     let names: Vec<_> = signalled.map(|engine| engine.entry.name.clone()).collect();
-    state.signal_turn = state.signal_turn.wrapping_add(1);
-    part_of_turn(&names, MOST_IN_INTRODUCTION, state.signal_turn)
+    state.signal_rotation = state.signal_rotation.wrapping_add(1);
+    rotating_part(&names, MAX_PER_FULL_UPDATE, state.signal_rotation)
 }
 
-fn news_of(state: &GatewayState, told: &[BackEndName], now: Timestamp) -> Vec<SignalNews> {
-    let known = told.iter().filter_map(|name| {
+fn updates_of(state: &GatewayState, names: &[BackEndName], now: Timestamp) -> Vec<SignalUpdate> {
+    let known = names.iter().filter_map(|name| {
         let engine = state.engines.get(name)?;
         let report = engine.condition.report()?;
-        Some(SignalNews::new(
+        Some(SignalUpdate::new(
             name,
             engine.entry.incarnation,
             &report,
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -1,4 +1,4 @@
-//! What engines tell of their caches; see docs/design/decisions.md.
+//! Follows the events of engines' caches; see docs/design/decisions.md.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,28 +8,27 @@
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::cache_knowledge::LEAST_TOLD_TOKENS;
+use super::cache_knowledge::MIN_ANNOUNCED_TOKENS;
 use super::{Gateway, GatewayState};
 use crate::engines::Engine;
-use crate::peers::{HolderNews, NodeState};
+use crate::peers::{HolderUpdate, NodeState};
 use crate::placement::{CacheChange, PartKey};
 
-/// Most dropped prefixes that wait to be told; beyond that news are left out.
-const MOST_WAITING_DROPS: usize = 512;
+/// Maximum number of queued evictions; further ones are not reported.
+const MAX_QUEUED_DROPS: usize = 512;
 
 impl Gateway {
-    /// The engines whose caches this node follows for all: one node of an engine's zone does, since
-    /// bytes between zones are dear, or one of all nodes when none serves in that zone.
+    /// The engines whose caches this node follows on behalf of all nodes. One ready node of an
+    /// engine's zone does so, since traffic between zones is expensive, or one of all nodes when
+    /// the zone has none that is ready.
     ///
-    /// Not in a large deployment: whoever begins to follow an engine is told all that it remembers,
-    /// which is much for the small links there, and with many nodes the followers change often.
+    /// None in a large deployment: a node that starts to follow an engine is sent the whole content
+    /// of its cache, which is much for the small links there, and with many nodes the followers
+    /// change often.
     pub fn caches_to_follow(&self) -> Vec<(BackEndName, SocketAddr)> {
         let state = self.state();
-        let has_settled = |after| self.uptime() >= after;
-        let may_follow = self
-            .settings()
-            .caches_followed_after
-            .is_some_and(has_settled);
+        let has_run_for = |after| self.uptime() >= after;
+        let may_follow = self.settings().cache_follow_delay.is_some_and(has_run_for);
         if !may_follow || state.node_state != NodeState::Ready || state.peers.is_large() {
             return Vec::new();
         }
@@ -45,32 +44,33 @@
     fn follows_cache(&self, state: &GatewayState, engine: &Engine) -> bool {
         let now = self.clock().now();
         let own = &self.settings().identity;
-        let order = |name: &NodeName| {
+        let score = |name: &NodeName| {
             let node_hash = xxh3_64(name.as_str().as_bytes());
             rendezvous_score(engine.name_hash, node_hash)
         };
-        let own_order = order(&own.name);
+        let own_score = score(&own.name);
         let zone = &engine.entry.zone;
         let mut near = state
             .peers
             .ready(now)
             .filter(|peer| peer.identity.zone == *zone);
         if own.zone == *zone {
-            return near.all(|peer| order(&peer.identity.name) <= own_order);
+            return near.all(|peer| score(&peer.identity.name) <= own_score);
         }
         let mut all = state.peers.ready(now);
-        near.next().is_none() && all.all(|peer| order(&peer.identity.name) <= own_order)
+        near.next().is_none() && all.all(|peer| score(&peer.identity.name) <= own_score)
     }
 
-    /// Takes what an engine told of its cache. At first that is all it remembers, which a node that
-    /// was just started knows nothing of; later only parts count that some request has shared.
-    pub fn take_cache_changes(
+    /// Applies changes of an engine's cache. The first batch is its whole content, all of which is
+    /// new to a node that has just started; later batches count only for prefixes that some request
+    /// has shared.
+    pub fn apply_cache_changes(
         &self,
         engine: &BackEndName,
         changes: &[CacheChange],
         is_first: bool,
     ) {
-        // The last change of a part counts.
+        // Only the last change of a part counts.
         let latest: BTreeMap<PartKey, &CacheChange> =
             changes.iter().map(|change| (change.key, change)).collect();
         let now = self.clock().now();
@@ -82,11 +82,14 @@
             info!(self.log(), "cache_followed"; "engine" => %engine, "parts" => latest.len());
         }
         for (key, change) in latest {
-            let is_worth = change.tokens >= LEAST_TOLD_TOKENS;
+            let is_worth_announcing = change.tokens >= MIN_ANNOUNCED_TOKENS;
             match change.is_held {
-                true if is_worth && is_first => self.note_holder(&mut state, key, engine),
-                // Whoever sent the request that read it tells the others.
-                true if is_worth && state.holders.contains(key) => {
+                true if is_worth_announcing && is_first => {
+                    self.note_holder(&mut state, key, engine)
+                }
+                // The node that sent the request which computed this prefix reports it to the
+                // others.
+                true if is_worth_announcing && state.holders.contains(key) => {
                     state.holders.note(key, engine, now)
                 }
                 true => {}
@@ -97,8 +100,8 @@
 }
 
 fn note_dropped(state: &mut GatewayState, key: PartKey, engine: &BackEndName) {
-    let is_news = state.holders.forget(key, engine);
-    if is_news && state.dropped_news.len() < MOST_WAITING_DROPS {
-        state.dropped_news.push(HolderNews(key, engine.clone()));
+    let is_new = state.holders.forget(key, engine);
+    if is_new && state.drop_updates.len() < MAX_QUEUED_DROPS {
+        state.drop_updates.push(HolderUpdate(key, engine.clone()));
     }
 }
--- a/crates/gateway/src/gateway/cache_knowledge.rs
+++ b/crates/gateway/src/gateway/cache_knowledge.rs
@@ -1,4 +1,4 @@
-//! What is known of cached parts, and of the store that keeps them.
+//! Tracks the holders of cached prefixes, and the state of the KV stores.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,37 +8,39 @@
 
 use super::{Gateway, GatewayState};
 use crate::catalogue::KvStoreProfile;
-use crate::peers::{HolderNews, KvStoreNews, NodeState, Peer};
+use crate::peers::{HolderUpdate, KvStoreUpdate, NodeState, Peer};
 use crate::placement::{PartKey, Placement, StoreChange, store_holder_name};
 
-/// Most prefixes that wait to be told; beyond that news are left out.
-const MOST_WAITING_HOLDER_NEWS: usize = 1_024;
-/// A holder that uses a part again is told anew after so long.
-const HOLDER_NEWS_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of queued prefix updates; further ones are not reported.
+const MAX_QUEUED_HOLDER_UPDATES: usize = 1_024;
+/// A holder that uses a prefix again is reported again after this time.
+const HOLDER_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Prefixes shorter than this are read again sooner than told of.
-pub(super) const LEAST_TOLD_TOKENS: u32 = 256;
+/// Prefixes with fewer tokens are cheaper to compute again than to report.
+pub(super) const MIN_ANNOUNCED_TOKENS: u32 = 256;
 
 impl Gateway {
-    /// A request of a pool began: its prompt was read `after` it had come.
-    pub fn note_begin(&self, pool: &PoolName, after: Duration) {
+    /// Records the start delay of a request: its prefill was done `after` this time.
+    pub fn note_request_start(&self, pool: &PoolName, after: Duration) {
         let now = self.clock().now();
         self.state_mut().start_delays.note(pool, after, now);
     }
 
-    /// An engine has read the prompt of a request: others may fetch its parts.
-    pub fn note_prompt_read(&self, placement: &Placement) {
+    /// Records that an engine has done the prefill of a request, so that others may fetch the
+    /// cached parts.
+    pub fn note_prefill_done(&self, placement: &Placement) {
         let now = self.clock().now();
-        let is_kept = self.is_in_life_of(placement);
+        let is_kept = self.is_same_incarnation(placement);
         let mut state = self.state_mut();
         let shared = placement.keys.shared();
-        // An engine that has begun again since keeps nothing of it; the store may.
+        // An engine that has restarted since has lost the prefixes; the store may still have them.
         let kept = placement.keys.0.iter().filter(|_| is_kept);
         for (key, tokens) in kept {
-            let is_worth = *tokens >= LEAST_TOLD_TOKENS && shared.iter().any(|part| part.0 == *key);
-            match is_worth {
+            let is_worth_announcing =
+                *tokens >= MIN_ANNOUNCED_TOKENS && shared.iter().any(|part| part.0 == *key);
+            match is_worth_announcing {
                 true => self.note_holder(&mut state, *key, &placement.engine),
-                // Only this node may see it again.
+                // Only later requests at this node may share this prefix.
                 false => state.holders.note_local(*key, &placement.engine, now),
             }
         }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Where the stores of kept KV cache listen that this node is to ask.
+    /// Addresses of the KV stores that this node checks.
     pub fn kv_stores_to_ask(&self) -> Vec<SocketAddr> {
         let state = self.state();
         let stores = state.table.iter().flat_map(|table| table.kv_stores());
@@ -57,8 +59,8 @@
         own.map(|store| store.address).collect()
     }
 
-    /// One node asks a store for all: of those that serve in its zone the first by name, or of all
-    /// that serve when none stands there.
+    /// Whether this node checks a KV store on behalf of all nodes: the first by name of the ready
+    /// nodes in the store's zone does, or of all ready nodes when the zone has none.
     fn asks_kv_store(&self, state: &GatewayState, store: &KvStoreProfile) -> bool {
         if state.node_state != NodeState::Ready {
             return false;
@@ -75,30 +77,30 @@
         first_in_zone.is_none() && others.all(|peer| peer.identity.name > own.name)
     }
 
-    pub(super) fn kv_store_news(&self, state: &GatewayState) -> Vec<KvStoreNews> {
+    pub(super) fn kv_store_updates(&self, state: &GatewayState) -> Vec<KvStoreUpdate> {
         let stores = state.table.iter().flat_map(|table| table.kv_stores());
         let own = stores.filter(|store| self.asks_kv_store(state, store));
         own.filter_map(|store| {
             let known = state.kv_stores.state(store.address)?;
-            Some(KvStoreNews(store.address, known))
+            Some(KvStoreUpdate(store.address, known))
         })
         .collect()
     }
 
-    /// A store of kept KV cache answered, or did not.
-    pub fn note_kv_store(&self, news: KvStoreNews) {
+    /// Records whether a KV store answered, and informs the other nodes of a change.
+    pub fn note_kv_store(&self, update: KvStoreUpdate) {
         let mut state = self.state_mut();
-        if self.adopt_kv_store_news(&mut state, news) {
-            state.news_for_all = true;
+        if self.apply_kv_store(&mut state, update) {
+            state.broadcast_next = true;
             drop(state);
-            self.tell_peers_soon();
+            self.request_peer_send();
         }
     }
 
-    /// Whether the news changed anything.
-    pub(super) fn adopt_kv_store_news(&self, state: &mut GatewayState, news: KvStoreNews) -> bool {
-        let KvStoreNews(address, told) = news;
-        match state.kv_stores.note(address, told) {
+    /// Applies the reported state of a KV store; returns whether anything has changed.
+    pub(super) fn apply_kv_store(&self, state: &mut GatewayState, update: KvStoreUpdate) -> bool {
+        let KvStoreUpdate(address, reported) = update;
+        match state.kv_stores.note(address, reported) {
             StoreChange::Unchanged => return false,
             StoreChange::ReachabilityChanged(answers) => {
                 info!(self.log(), "kv_store_reached"; "store" => %address, "answers" => answers);
@@ -115,12 +117,12 @@
     pub(super) fn note_holder(&self, state: &mut GatewayState, key: PartKey, holder: &BackEndName) {
         let now = self.clock().now();
         let known_at = state.holders.of(key).find(|(name, _)| *name == holder);
-        let is_news = known_at.is_none_or(|(_, at)| now.since(at) > HOLDER_NEWS_INTERVAL);
+        let is_new = known_at.is_none_or(|(_, at)| now.since(at) > HOLDER_UPDATE_INTERVAL);
         state.holders.note(key, holder, now);
-        if is_news && state.holder_news.len() < MOST_WAITING_HOLDER_NEWS {
-            let news = HolderNews(key, holder.clone());
-            state.holder_news.push(news.clone());
-            self.note_zone_news(state, news);
+        if is_new && state.holder_updates.len() < MAX_QUEUED_HOLDER_UPDATES {
+            let update = HolderUpdate(key, holder.clone());
+            state.holder_updates.push(update.clone());
+            self.queue_zone_update(state, update);
         }
     }
 }
--- a/crates/gateway/src/gateway/list_handover.rs
+++ b/crates/gateway/src/gateway/list_handover.rs
@@ -1,4 +1,4 @@
-//! Handing the list of engines on between nodes; see docs/design/fleet.md.
+//! Transfers the engine list between nodes; see docs/design/fleet.md.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
 use crate::source::ItemKind;
 use crate::sync::{EntryGroup, ListFetch, ListPiece};
 
-/// Entries in a piece: with some 50 bytes each it takes half of a datagram, and a list of ten thousand comes in twenty
-/// pieces.
-const MOST_ENTRIES: usize = 512;
+/// Maximum number of entries in a piece. At some 50 bytes each they take half of a datagram, and a
+/// list of ten thousand is sent in twenty pieces.
+const MAX_ENTRIES_PER_PIECE: usize = 512;
 
 impl Gateway {
-    /// The next piece of the list to ask for, and of whom, while the source does not tell this node.
+    /// The next piece to request and the node to ask, while the source does not answer this node.
     pub fn next_list_fetch(&self, random: &mut impl Rng) -> Option<(SocketAddr, ListFetch)> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -35,7 +35,7 @@
         state.list_transfer.next(now, draw)
     }
 
-    /// The piece that another node asks for; nothing before this node has the list.
+    /// Answers another node's request for a piece; `None` until this node has the list.
     pub fn answer_list_fetch(&self, fetch: &ListFetch) -> Option<ListPiece> {
         let state = self.state();
         if !state.has_engine_list {
@@ -47,7 +47,7 @@
         let mut later = later.filter(is_listed);
         let entries: Vec<_> = later
             .by_ref()
-            .take(MOST_ENTRIES)
+            .take(MAX_ENTRIES_PER_PIECE)
             .map(|engine| &engine.entry)
             .collect();
         let next = later.next().and(entries.last());
@@ -64,8 +64,8 @@
         })
     }
 
-    /// Takes a piece; tells what to ask for next.
-    pub fn take_list_piece(
+    /// Applies a piece; returns the next one to request.
+    pub fn apply_list_piece(
         &self,
         from: SocketAddr,
         piece: ListPiece,
@@ -79,14 +79,15 @@
         if known < Some(whole.revision) {
             info!(self.log(), "engine_list_handed_over"; "revision" => whole.revision,
                 "before" => known, "engines" => whole.entries.len(), "from" => %from);
-            self.take_handed_list(&whole.entries, &whole.unusable, whole.revision);
-            self.become_ready();
+            self.apply_peer_list(&whole.entries, &whole.unusable, whole.revision);
+            self.update_readiness();
         }
         None
     }
 
-    /// Whether others may hand the list on to this node, so that it need not read all pages of the source.
-    pub fn may_be_handed_list(&self) -> bool {
+    /// Whether other nodes may transfer the list to this node, so that it need not read all pages
+    /// from the source.
+    pub fn may_receive_list_from_peers(&self) -> bool {
         let now = self.clock().now();
         let state = self.state();
         state.peers.is_large() && self.parent(&state, now).is_some()
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -1,4 +1,4 @@
-//! Holding back requests that end the engines that run them; see docs/design/poison.md.
+//! Blocks requests that crash the engines that run them; see docs/design/poison.md.
 
 use std::time::Duration;
 
@@ -7,42 +7,43 @@
 use ryerouter_core::poison::{Crash, Digest, Verdict};
 use slog::{info, warn};
 
-use super::news_queue::{part_of_turn, take_news};
-use super::poison_records::settle_unless_newer;
+use super::poison_records::cancel_write_unless_newer;
+use super::update_queue::{rotating_part, take_pending};
 use super::{Gateway, GatewayState};
 use crate::engines::{Engine, IncarnationOrder};
 use crate::poison::{PoisonUpdate, Run};
 use crate::serve::AcceptedRequest;
 
-/// Most requests that one message tells of; more wait for the next.
-const MOST_NEWS: usize = 32;
-/// Most requests held back that an introduction tells of: others with the next.
-const MOST_IN_INTRODUCTION: usize = 16;
-/// News are told so often where they go to each node directly: a datagram may be lost. Elsewhere they are passed
-/// on by two nodes of each zone.
-const TELLINGS: u32 = 3;
-/// The entry of an engine that has ended goes after three heartbeats, so one that is listed for three lapses of
-/// two has gone on.
-const LAPSES_UNTIL_GONE: u32 = 3;
+/// Maximum number of requests that one message reports; more wait for the next.
+const MAX_UPDATES_PER_MESSAGE: usize = 32;
+/// Maximum number of blocked requests in a full update; the next one carries others.
+const MAX_PER_FULL_UPDATE: usize = 16;
+/// Transmissions of an update where messages go to each node directly, since a datagram may be
+/// lost. In larger deployments two nodes of each zone forward updates instead.
+const TRANSMISSIONS: u32 = 3;
+/// The entry of a crashed engine expires after three heartbeats. An engine that is still listed
+/// after three entry TTLs of two heartbeats each has therefore not crashed.
+const TTLS_UNTIL_ENTRY_REMOVED: u32 = 3;
 
 impl Gateway {
     /// Whether a request may be sent to an engine now.
-    pub(crate) fn verdict_on(&self, request: &AcceptedRequest) -> Verdict {
+    pub(crate) fn poison_verdict(&self, request: &AcceptedRequest) -> Verdict {
         let has_none = self.state().poison.is_empty();
         match has_none {
             true => Verdict::Allowed,
-            false => self.verdict_on_digest(request.digest()),
+            false => self.poison_verdict_of(request.digest()),
         }
     }
 
-    /// The same for all requests that this stands for.
-    pub fn verdict_on_digest(&self, digest: Digest) -> Verdict {
+    /// Whether requests with this digest may be sent to an engine now.
+    pub fn poison_verdict_of(&self, digest: Digest) -> Verdict {
         let now = self.clock().now();
-        self.withdraw_ends(digest, now);
+        self.withdraw_refuted_crashes(digest, now);
         self.state().poison.verdict(digest, now)
     }
 
-    /// A request that is held back is sent once, to see whether it still ends its engine.
+    /// Records that a blocked request is now sent once, to check whether it still crashes its
+    /// engine.
     pub(crate) async fn begin_trial(&self, request: &AcceptedRequest) {
         let digest = request.digest();
         let now = self.clock().now();
@@ -51,13 +52,14 @@
             info!(self.log(), "poison_tried"; "request" => &request.caller.id,
                 "digest" => %digest, "trials" => history.trials);
         }
-        // At once: others are not to begin one too.
-        self.tell_of_poison(digest);
-        self.write_poison_record(digest);
-        self.until_poison_written(digest).await;
+        // Announced at once, so that other nodes do not start a trial as well.
+        self.announce_poison(digest);
+        self.schedule_poison_write(digest);
+        self.wait_for_poison_write(digest).await;
     }
 
-    /// The connection of a run broke off. Its engine has most likely ended, unless it leaves, when its end is planned.
+    /// Handles a run whose connection broke. Its engine has most likely crashed, unless it is
+    /// leaving, when it stops as planned.
     pub(crate) fn note_broken_run(&self, run: &Run) {
         let Run {
             digest,
@@ -66,19 +68,19 @@
             ..
         } = run;
         let (digest, began) = (*digest, *began);
-        if !self.is_in_life_of(placement) {
+        if !self.is_same_incarnation(placement) {
             return;
         }
         let now = self.clock().now();
         let mut state = self.state_mut();
-        let lapse = self.time_until_gone();
+        let lifetime = self.crashed_entry_lifetime();
         let engine = state.engines.get_mut(&placement.engine);
         let Some(engine) = engine.filter(|engine| engine.is_staying()) else {
             return;
         };
-        let crashed_at = engine.crashed_at().filter(|at| now.since(*at) < lapse);
+        let crashed_at = engine.crashed_at().filter(|at| now.since(*at) < lifetime);
         if crashed_at.is_some_and(|at| at < began) {
-            // It was sent to an engine that had ended before.
+            // The request was sent to an engine that had already crashed.
             return;
         }
         engine.note_crashed(began, now);
@@ -89,9 +91,10 @@
             ended: now,
             is_unproven: false,
         };
-        // What had ended before this node started is listed for as long, and the node could not see it end.
-        let may_have_ended_before = self.uptime() < lapse && !engine.has_answered();
-        crash.is_unproven = may_have_ended_before && crash.is_doubtful();
+        // An engine that crashed before this node started remains listed for this time, and the
+        // node could not observe the crash.
+        let may_have_crashed_before = self.uptime() < lifetime && !engine.has_answered();
+        crash.is_unproven = may_have_crashed_before && crash.is_doubtful();
         let is_unproven = crash.is_unproven;
         drop(state);
         let Some(count) = self.note_poison_crash(digest, crash) else {
@@ -103,7 +106,8 @@
             "is_unproven" => is_unproven, "held_back" => self.state().poison.is_blocked(digest));
     }
 
-    /// An engine ended under a request. How many have now, one after the other; `None` when this tells nothing new.
+    /// Records that an engine crashed while it ran a request. Returns the number of consecutive
+    /// crashes of the request, or `None` when this crash adds nothing new.
     pub fn note_poison_crash(&self, digest: Digest, crash: Crash) -> Option<usize> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -114,17 +118,17 @@
         let count = history.crashes.len();
         let (is_blocked, is_near) = (history.is_blocked(), history.is_nearly_blocked());
         drop(state);
-        self.tell_of_poison(digest);
+        self.announce_poison(digest);
         match is_blocked {
-            true => self.write_poison_record(digest),
-            false if is_near => self.write_suspect_record(digest),
+            true => self.schedule_poison_write(digest),
+            false if is_near => self.schedule_suspect_write(digest),
             false => {}
         }
         Some(count)
     }
 
-    /// A run came to a good end: its request is not what ends engines.
-    pub(crate) fn note_good_run(&self, request: &AcceptedRequest) {
+    /// Records a successful run, which shows that the request does not crash engines.
+    pub(crate) fn note_successful_run(&self, request: &AcceptedRequest) {
         let has_none = self.state().poison.is_empty();
         if !has_none && self.clear_poison(request.digest()) {
             info!(self.log(), "poison_cleared"; "request" => &request.caller.id,
@@ -132,29 +136,29 @@
         }
     }
 
-    /// A run of a request came to a good end; `false` when this tells nothing new.
+    /// Clears the crashes of a request after a successful run; `false` when this changes nothing.
     pub fn clear_poison(&self, digest: Digest) -> bool {
         let now = self.clock().now();
         let mut state = self.state_mut();
         if state.poison.is_blocked(digest) {
             state.poison_records.note_stored(digest);
         }
-        let is_news = state.poison.record_success(digest, now);
+        let is_new = state.poison.record_success(digest, now);
         let is_held = state.poison_records.is_stored(digest);
         drop(state);
-        if is_news {
-            self.tell_of_poison(digest);
+        if is_new {
+            self.announce_poison(digest);
         }
-        if is_news && is_held {
-            self.write_poison_record(digest);
+        if is_new && is_held {
+            self.schedule_poison_write(digest);
         }
-        is_news
+        is_new
     }
 
-    /// A broken connection looks like the end of its engine. One that is still listed long after has gone on, as
-    /// when a link was cut.
-    fn withdraw_ends(&self, digest: Digest, now: Timestamp) {
-        let lapse = self.time_until_gone();
+    /// Removes crashes that the engine list refutes. A broken connection looks like a crash, but an
+    /// engine that is still listed long after it, as when a link was cut, has gone on running.
+    fn withdraw_refuted_crashes(&self, digest: Digest, now: Timestamp) {
+        let lifetime = self.crashed_entry_lifetime();
         let mut state = self.state_mut();
         let GatewayState {
             poison,
@@ -163,22 +167,22 @@
             poison_records,
             ..
         } = &mut *state;
-        if !steadiness.holds(lapse, now) {
+        if !steadiness.holds(lifetime, now) {
             return;
         }
-        let has_gone_on = |crash: &Crash| {
+        let has_survived = |crash: &Crash| {
             let engine = engines.get(&crash.engine);
             let listed = engine.filter(|engine| !engine.is_unlisted);
             let is_same = listed.is_some_and(|engine| {
                 IncarnationOrder::new(engine.entry.incarnation, crash.incarnation)
                     == IncarnationOrder::Same
             });
-            is_same && now.since(crash.ended) > lapse
+            is_same && now.since(crash.ended) > lifetime
         };
         let Some(history) = poison.get_mut(digest) else {
             return;
         };
-        let withdrawn = history.remove_crashes(has_gone_on);
+        let withdrawn = history.remove_crashes(has_survived);
         if withdrawn > 0 {
             info!(self.log(), "poison_withdrawn"; "digest" => %digest, "engines" => withdrawn,
                 "held_back" => history.is_blocked());
@@ -192,8 +196,8 @@
         }
     }
 
-    /// Whether an engine seems to have ended a little while ago.
-    pub(super) fn has_ended(
+    /// Whether an engine has probably crashed recently.
+    pub(super) fn has_crashed(
         &self,
         state: &GatewayState,
         engine: &BackEndName,
@@ -201,49 +205,52 @@
     ) -> bool {
         let engine = state.engines.get(engine);
         let crashed_at = engine.and_then(Engine::crashed_at);
-        crashed_at.is_some_and(|at| now.since(at) < self.time_until_gone())
+        crashed_at.is_some_and(|at| now.since(at) < self.crashed_entry_lifetime())
     }
 
-    /// The engines of a pool that seem to have ended a little while ago.
-    pub(crate) fn ended_engines(&self, pool: &PoolName) -> Vec<BackEndName> {
+    /// The engines of a pool that have probably crashed recently.
+    pub(crate) fn crashed_engines(&self, pool: &PoolName) -> Vec<BackEndName> {
         let now = self.clock().now();
         let state = self.state();
         let names = state.engines.of_pool(pool).map(|engine| &engine.entry.name);
-        let ended = names.filter(|name| self.has_ended(&state, name, now));
-        ended.cloned().collect()
+        let crashed = names.filter(|name| self.has_crashed(&state, name, now));
+        crashed.cloned().collect()
     }
 
-    /// An engine that has ended is listed for no longer.
-    fn time_until_gone(&self) -> Duration {
-        self.settings().entry_lapse * LAPSES_UNTIL_GONE
+    /// Maximum time for which a crashed engine remains listed.
+    fn crashed_entry_lifetime(&self) -> Duration {
+        self.settings().entry_ttl * TTLS_UNTIL_ENTRY_REMOVED
     }
 
-    pub(super) fn tell_of_poison(&self, digest: Digest) {
-        self.state_mut().poison_updates.insert(digest, TELLINGS);
-        self.tell_peers_soon();
+    pub(super) fn announce_poison(&self, digest: Digest) {
+        self.state_mut()
+            .poison_updates
+            .insert(digest, TRANSMISSIONS);
+        self.request_peer_send();
     }
 
-    /// What to tell other nodes with a message; with an introduction also of requests that are held back.
+    /// The updates for the next message to other nodes; a full update also carries blocked
+    /// requests.
     pub(super) fn poison_updates(
         &self,
         state: &mut GatewayState,
-        is_introduction: bool,
+        is_full_update: bool,
         now: Timestamp,
     ) -> Vec<PoisonUpdate> {
-        let mut told = match state.peers.is_large() {
+        let mut digests = match state.peers.is_large() {
             true => Vec::new(),
-            false => take_news(&mut state.poison_updates, MOST_NEWS, 1),
+            false => take_pending(&mut state.poison_updates, MAX_UPDATES_PER_MESSAGE, 1),
         };
-        if is_introduction {
-            told.extend(convicted_of_turn(state));
-            state.poison_turn = state.poison_turn.wrapping_add(1);
-            told.sort_unstable();
-            told.dedup();
+        if is_full_update {
+            digests.extend(blocked_in_rotation(state));
+            state.poison_rotation = state.poison_rotation.wrapping_add(1);
+            digests.sort_unstable();
+            digests.dedup();
         }
-        news_of(state, &told, now)
+        updates_of(state, &digests, now)
     }
 
-    /// News of requests that every node of a large deployment needs at once.
+    /// Takes the updates that every node of a large deployment needs at once.
     pub(super) fn take_urgent_poison(
         &self,
         state: &mut GatewayState,
@@ -252,51 +259,56 @@
         if !state.peers.is_large() {
             return Vec::new();
         }
-        let told = take_news(&mut state.poison_updates, MOST_NEWS, TELLINGS);
+        let digests = take_pending(
+            &mut state.poison_updates,
+            MAX_UPDATES_PER_MESSAGE,
+            TRANSMISSIONS,
+        );
         if !state.poison_updates.is_empty() {
-            // What this message does not hold is as urgent.
-            self.tell_peers_soon();
+            // The updates that did not fit into this message are just as urgent.
+            self.request_peer_send();
         }
-        news_of(state, &told, now)
+        updates_of(state, &digests, now)
     }
 
-    /// Takes what another node tells.
-    pub(super) fn take_poison_news(
+    /// Applies updates received from another node.
+    pub(super) fn apply_poison_updates(
         &self,
         state: &mut GatewayState,
-        news: &[PoisonUpdate],
+        updates: &[PoisonUpdate],
         now: Timestamp,
     ) {
-        for told in news {
-            note_ended_engines(state, told, now);
-            let digest = told.digest;
-            let history = told.history(now);
+        for update in updates {
+            note_crashed_engines(state, update, now);
+            let digest = update.digest;
+            let history = update.history(now);
             let was_convicted = state.poison.is_blocked(digest);
-            let is_news = state.poison.merge(digest, &history, now);
+            let is_new = state.poison.merge(digest, &history, now);
             let is_blocked = state.poison.is_blocked(digest);
-            if is_news && is_blocked != was_convicted {
+            if is_new && is_blocked != was_convicted {
                 info!(self.log(), "poison_heard"; "digest" => %digest, "held_back" => is_blocked,
-                    "is_recorded" => told.is_recorded);
+                    "is_recorded" => update.is_recorded);
             }
-            if was_convicted || told.is_recorded {
+            if was_convicted || update.is_recorded {
                 state.poison_records.note_stored(digest);
             }
-            if is_news && (is_blocked || was_convicted) {
-                self.write_poison_record_later(state, digest, now);
+            if is_new && (is_blocked || was_convicted) {
+                self.schedule_delayed_poison_write(state, digest, now);
             }
-            if told.is_recorded {
-                settle_unless_newer(state, digest, &history);
+            if update.is_recorded {
+                cancel_write_unless_newer(state, digest, &history);
             }
         }
     }
 }
 
-/// What others send to an engine from now on is not what ended it.
-fn note_ended_engines(state: &mut GatewayState, told: &PoisonUpdate, now: Timestamp) {
-    for news in &told.crashes {
-        let crash = news.crash(now);
-        // It is told again and again, and the engine may have taken something since.
-        let known = state.poison.get(told.digest);
+/// Marks the engines of the reported crashes as crashed, so that requests which other nodes send to
+/// them later are not taken for the cause.
+fn note_crashed_engines(state: &mut GatewayState, update: &PoisonUpdate, now: Timestamp) {
+    for crash_update in &update.crashes {
+        let crash = crash_update.crash(now);
+        // The same crash is reported repeatedly, and the engine may have accepted requests since.
+        let known = state.poison.get(update.digest);
         if known.is_some_and(|known| known.holds(&crash)) {
             continue;
         }
@@ -311,14 +323,14 @@
     }
 }
 
-/// Some of the requests that are held back, others with each message.
-fn convicted_of_turn(state: &GatewayState) -> Vec<Digest> {
+/// The part of the blocked requests that this full update carries; each carries another.
+fn blocked_in_rotation(state: &GatewayState) -> Vec<Digest> {
     let blocked: Vec<_> = state.poison.blocked().collect();
-    part_of_turn(&blocked, MOST_IN_INTRODUCTION, state.poison_turn)
+    rotating_part(&blocked, MAX_PER_FULL_UPDATE, state.poison_rotation)
 }
 
-fn news_of(state: &GatewayState, told: &[Digest], now: Timestamp) -> Vec<PoisonUpdate> {
-    let known = told.iter().filter_map(|digest| {
+fn updates_of(state: &GatewayState, digests: &[Digest], now: Timestamp) -> Vec<PoisonUpdate> {
+    let known = digests.iter().filter_map(|digest| {
         let history = state.poison.get(*digest)?;
         let records = &state.poison_records;
         let is_recorded =
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -1,4 +1,4 @@
-//! What this node reads of the records of requests that are held back, and what it has to write; see
+//! Reads the stored records of blocked requests and determines what to write; see
 //! docs/design/poison.md.
 
 use std::time::{Duration, SystemTime};
@@ -8,36 +8,41 @@
 use ryerouter_core::poison::{Digest, History};
 use slog::{info, warn};
 
-use super::{Gateway, GatewayState, SETTLING};
+use super::{Gateway, GatewayState, PEER_DISCOVERY_TIME};
 use crate::poison::{ReadProgress, Record};
 use crate::serve::AcceptedRequest;
 use crate::source::{Consistency, StoredRecord};
 
-/// A request is not held for longer until the records are read: the store may be away for long, while others have told
-/// this node all that it needs to serve.
-const LONGEST_WAIT_FOR_RECORDS: Duration = Duration::from_millis(500);
-/// A trial is not held for longer until the store has taken that it begins.
-const LONGEST_WAIT_FOR_WRITE: Duration = Duration::from_millis(300);
-/// The node that has seen an end writes it at once. Others do so when they have not heard for so long that it is written.
-const WRITTEN_BY_OTHERS_AFTER: Duration = Duration::from_secs(2);
-/// They spread over so long for each node that they know, since all of them miss the same one.
-const SPREAD_FOR_EACH_NODE: Duration = Duration::from_millis(50);
-/// A request that is not held back yet is written when no good end has cleared it for so long.
-const SUSPECT_WRITTEN_AFTER: Duration = Duration::from_secs(1);
-/// So many nodes at about the same time try to remove a record that all have forgotten, however many there are.
-const NODES_THAT_REMOVE: f64 = 3.0;
+/// Maximum time that a request waits for the records to be read: the store may be unavailable for
+/// long, while other nodes have already reported all that is needed to serve.
+const RECORDS_READ_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum time that a trial waits for the store to record its start.
+const RECORD_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
+/// The node that observed a crash writes it at once. Other nodes write it when they have received
+/// no report for this long that it is recorded.
+const BACKUP_WRITE_DELAY: Duration = Duration::from_secs(2);
+/// These writes are spread over this time for each known node, since all nodes miss the same
+/// report.
+const BACKUP_WRITE_JITTER_PER_NODE: Duration = Duration::from_millis(50);
+/// A request that is not blocked yet is recorded when no successful run has cleared it within this
+/// time.
+const SUSPECT_WRITE_DELAY: Duration = Duration::from_secs(1);
+/// Expected number of nodes that remove an expired record, whatever the size of the deployment: all
+/// nodes let it expire at about the same time.
+const EXPECTED_REMOVING_NODES: f64 = 3.0;
 
 impl Gateway {
-    /// From now on requests wait until the records of those that are held back have been read.
+    /// Makes requests wait from now on until the records of blocked requests have been read.
     pub(crate) fn expect_poison_records(&self) {
         let records = &mut self.state_mut().poison_records;
         records.has_store = true;
         records.read_progress = ReadProgress::Unread;
     }
 
-    /// Waits until a request that is held back is known to be. Where engines have ended under it already, what was
-    /// recorded in the last seconds matters as well. `false` when it can't be told.
-    pub(crate) async fn knows_poison(&self, request: &AcceptedRequest) -> bool {
+    /// Waits until this node would know that a request is blocked. A request under which engines
+    /// have already crashed also waits for the records written within the last seconds. Returns
+    /// `false` when the records could not be read in time.
+    pub(crate) async fn wait_for_poison_records(&self, request: &AcceptedRequest) -> bool {
         let wanted = match self.state().poison_records.read_progress {
             ReadProgress::Current => return true,
             ReadProgress::Stale if !self.is_suspect(request) => return true,
@@ -51,7 +56,7 @@
             .requested_at
             .get_or_insert(now);
         self.poison_records_wanted.notify_one();
-        let limit = wanted_at.after(LONGEST_WAIT_FOR_RECORDS);
+        let limit = wanted_at.after(RECORDS_READ_TIMEOUT);
         let read = self.poison_records_read(wanted);
         self.clock().until(limit, read).await.is_some()
     }
@@ -66,31 +71,32 @@
         }
     }
 
-    /// Whether engines have ended under a request, and no run of it has come to a good end since.
+    /// Whether engines have crashed under a request without a successful run since.
     fn is_suspect(&self, request: &AcceptedRequest) -> bool {
         let state = self.state();
         let has_ends = |history: &History| !history.crashes.is_empty();
         !state.poison.is_empty() && state.poison.get(request.digest()).is_some_and(has_ends)
     }
 
-    /// Whether a request may have been held back before this node started, by what it has seen since. What it can't read by
-    /// the time at which it knows the others, these have told it.
+    /// Whether a request may have been blocked before this node started, judged by the crashes
+    /// observed since. By the end of the discovery time the other nodes have reported the records
+    /// that this node could not read.
     pub(crate) fn may_be_held_back(&self, request: &AcceptedRequest) -> bool {
-        self.uptime() < SETTLING && self.is_suspect(request)
+        self.uptime() < PEER_DISCOVERY_TIME && self.is_suspect(request)
     }
 
-    /// Whether what was recorded in the last seconds is to be read.
+    /// Whether a request waits for the records written within the last seconds.
     pub(crate) fn wants_current_records(&self) -> bool {
         let records = &self.state().poison_records;
         records.read_progress != ReadProgress::Current && records.requested_at.is_some()
     }
 
-    /// Takes all records.
-    pub(crate) fn take_poison_records(&self, stored: Vec<StoredRecord>, consistency: Consistency) {
+    /// Applies the complete list of records.
+    pub(crate) fn apply_poison_records(&self, stored: Vec<StoredRecord>, consistency: Consistency) {
         let (now, time) = (self.clock().now(), SystemTime::now());
         let count = stored.len();
         for stored in stored {
-            self.take_poison_record(stored, now, time);
+            self.apply_poison_record(stored, now, time);
         }
         let mut state = self.state_mut();
         let held_back = state.poison.blocked().count();
@@ -104,16 +110,16 @@
             "is_stale" => consistency == Consistency::Stale,
             "uptime_ms" => self.uptime().as_millis() as u64);
         self.poison_records_changed.notify_waiters();
-        // Some of them may be outdated.
+        // Some of the records may have expired and be due for removal.
         self.poison_records_due.notify_one();
     }
 
-    fn take_poison_record(&self, stored: StoredRecord, now: Timestamp, time: SystemTime) {
+    fn apply_poison_record(&self, stored: StoredRecord, now: Timestamp, time: SystemTime) {
         let digest = stored.record.digest();
-        let told = stored.record.history(now, time);
-        let is_chosen = self.removes_records();
+        let stored_history = stored.record.history(now, time);
+        let is_chosen = self.is_removing_records();
         let mut state = self.state_mut();
-        if told.is_expired(now) {
+        if stored_history.is_expired(now) {
             if is_chosen {
                 state
                     .poison_records
@@ -121,41 +127,45 @@
             }
             return;
         }
-        state.poison.merge(digest, &told, now);
+        state.poison.merge(digest, &stored_history, now);
         state.poison_records.note_revision(digest, stored.revision);
-        settle_unless_newer(&mut state, digest, &told);
+        cancel_write_unless_newer(&mut state, digest, &stored_history);
     }
 
-    /// What this node has seen of a request is new, and nodes that start when all have gone must know it.
-    pub(super) fn write_poison_record(&self, digest: Digest) {
+    /// Schedules writing a request's record at once: this node's knowledge is new, and nodes that
+    /// start after all current ones have stopped depend on it.
+    pub(super) fn schedule_poison_write(&self, digest: Digest) {
         let now = self.clock().now();
         self.state_mut().poison_records.schedule_write(digest, now);
         self.poison_records_due.notify_one();
     }
 
-    /// The same for a request that one more end would hold back. Most are popular ones beside another, and are cleared before.
-    pub(super) fn write_suspect_record(&self, digest: Digest) {
-        let at = self.clock().now().after(SUSPECT_WRITTEN_AFTER);
+    /// Schedules writing the record of a request that one more crash would block. The write is
+    /// delayed because most of these are popular requests that ran beside the cause, and are
+    /// cleared soon.
+    pub(super) fn schedule_suspect_write(&self, digest: Digest) {
+        let at = self.clock().now().after(SUSPECT_WRITE_DELAY);
         self.state_mut().poison_records.schedule_write(digest, at);
         self.poison_records_due.notify_one();
     }
 
-    /// The same when another node has seen it, which writes it first.
-    pub(super) fn write_poison_record_later(
+    /// Schedules writing a record after a delay: the node that observed the crash writes it first.
+    pub(super) fn schedule_delayed_poison_write(
         &self,
         state: &mut GatewayState,
         digest: Digest,
         now: Timestamp,
     ) {
-        let spread = SPREAD_FOR_EACH_NODE * state.peers.known_count() as u32;
-        let after = WRITTEN_BY_OTHERS_AFTER + spread.mul_f64(rand::rng().random());
+        let spread = BACKUP_WRITE_JITTER_PER_NODE * state.peers.known_count() as u32;
+        let after = BACKUP_WRITE_DELAY + spread.mul_f64(rand::rng().random());
         state
             .poison_records
             .schedule_write(digest, now.after(after));
         self.poison_records_due.notify_one();
     }
 
-    /// The record that is to be written now, with the revision that it replaces; or when the next one is.
+    /// The record to write now with the revision that it replaces, or the time when the next one is
+    /// due.
     pub(crate) fn next_poison_record(&self) -> Result<(Record, Option<u64>), Option<Timestamp>> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -164,12 +174,12 @@
                 return Err(Some(at));
             }
             let Some(history) = state.poison.get(digest) else {
-                // Forgotten meanwhile.
+                // The history has expired meanwhile.
                 state.poison_records.forget(digest);
                 continue;
             };
             if !history.is_nearly_blocked() && !state.poison_records.is_stored(digest) {
-                // A good end has cleared it before it was written.
+                // A successful run has cleared the request before it was recorded.
                 state.poison_records.cancel_write(digest);
                 continue;
             }
@@ -181,7 +191,7 @@
         Err(None)
     }
 
-    /// The store has taken a record.
+    /// Handles a successful write of a record.
     pub(crate) fn note_poison_written(&self, record: &Record, revision: u64) {
         let digest = record.digest();
         let written = record.history(self.clock().now(), SystemTime::now());
@@ -192,10 +202,11 @@
             "ends" => written.crashes.len(), "trials" => written.trials,
             "held_back" => written.is_blocked());
         self.poison_records_changed.notify_waiters();
-        self.tell_of_poison(digest);
+        self.announce_poison(digest);
     }
 
-    /// Another node was faster: what it wrote is taken in, and what it lacks is written next.
+    /// Handles a write that lost against another node's: merges the stored record, and schedules
+    /// another write if it lacks any of this node's knowledge.
     pub(crate) fn note_poison_conflict(&self, digest: Digest, stored: Option<StoredRecord>) {
         let (now, time) = (self.clock().now(), SystemTime::now());
         let mut state = self.state_mut();
@@ -215,7 +226,7 @@
         self.poison_records_changed.notify_waiters();
     }
 
-    /// The store did not take a record: it is written again then, if it may be taken at all.
+    /// Handles a failed write; it is retried at `again_at`, or not at all if that is `None`.
     pub(crate) fn note_poison_unwritten(
         &self,
         digest: Digest,
@@ -229,9 +240,9 @@
         }
     }
 
-    /// Waits for a moment until the store has taken what this node knows of a request.
-    pub(crate) async fn until_poison_written(&self, digest: Digest) {
-        let limit = self.clock().now().after(LONGEST_WAIT_FOR_WRITE);
+    /// Waits, for a limited time, until the store holds what this node knows of a request.
+    pub(crate) async fn wait_for_poison_write(&self, digest: Digest) {
+        let limit = self.clock().now().after(RECORD_WRITE_TIMEOUT);
         let written = async {
             loop {
                 let changed = self.poison_records_changed.notified();
@@ -243,14 +254,14 @@
         };
         if self.clock().until(limit, written).await.is_none() {
             warn!(self.log(), "poison_record_late"; "digest" => %digest,
-                "waited_ms" => LONGEST_WAIT_FOR_WRITE.as_millis() as u64);
+                "waited_ms" => RECORD_WRITE_TIMEOUT.as_millis() as u64);
         }
     }
 
-    /// Forgets requests whose ends are long ago, and their records.
-    pub fn forget_poison(&self) {
+    /// Drops requests whose last crash is long ago, and some of their records.
+    pub fn expire_poison(&self) {
         let now = self.clock().now();
-        let is_chosen = self.removes_records();
+        let is_chosen = self.is_removing_records();
         let mut state = self.state_mut();
         for digest in state.poison.forget(now) {
             let revision = state.poison_records.forget(digest);
@@ -261,15 +272,17 @@
         }
     }
 
-    /// All nodes forget at about the same time, and each removal is a call to the store.
-    fn removes_records(&self) -> bool {
+    /// Whether this node removes expired records this time. All nodes let a record expire at about
+    /// the same time and each removal is a request to the store, so only a few nodes, chosen at
+    /// random, do so.
+    fn is_removing_records(&self) -> bool {
         let nodes = self.state().peers.known_count() + 1;
-        rand::rng().random_bool((NODES_THAT_REMOVE / nodes as f64).min(1.0))
+        rand::rng().random_bool((EXPECTED_REMOVING_NODES / nodes as f64).min(1.0))
     }
 }
 
-/// Nothing is left to write where the store holds all that this node knows.
-pub(super) fn settle_unless_newer(state: &mut GatewayState, digest: Digest, held: &History) {
+/// Cancels a scheduled write when the store already holds all that this node knows.
+pub(super) fn cancel_write_unless_newer(state: &mut GatewayState, digest: Digest, held: &History) {
     let own = state.poison.get(digest);
     if own.is_none_or(|own| !own.has_updates_for(held)) {
         state.poison_records.cancel_write(digest);
--- a/crates/gateway/src/gateway/dividing.rs
+++ b/crates/gateway/src/gateway/prefill_split.rs
@@ -1,4 +1,4 @@
-//! Dividing engines by what requests mostly do; see docs/design/shifted.md.
+//! Reserves engines for prefill-heavy requests; see docs/design/shifted.md.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,8 +12,13 @@
 };
 
 impl Gateway {
-    /// A request was given an engine.
-    pub(super) fn count_reading(&self, request: &PlacementRequest<'_>, placement: &Placement) {
+    /// Counts the prefill tokens of a request that was assigned to an engine, if the request is
+    /// prefill-heavy.
+    pub(super) fn count_prefill_tokens(
+        &self,
+        request: &PlacementRequest<'_>,
+        placement: &Placement,
+    ) {
         let Some(prompt) = request.prompt else {
             return;
         };
@@ -24,8 +29,9 @@
         }
     }
 
-    /// What the nodes of this zone bring pools to read, for the others.
-    pub(super) fn reading_of_zone(
+    /// Prefill tokens of requests for each pool, summed over the nodes of this zone, for the other
+    /// zones.
+    pub(super) fn prefill_of_zone(
         &self,
         state: &GatewayState,
         now: Timestamp,
@@ -35,47 +41,42 @@
         for PrefillDemandUpdate(pool, tokens) in state.peers.reading(now).chain(&own) {
             *sums.entry(pool.clone()).or_default() += tokens;
         }
-        let told = sums.into_iter();
-        told.map(|(pool, tokens)| PrefillDemandUpdate(pool, tokens))
+        let sums = sums.into_iter();
+        sums.map(|(pool, tokens)| PrefillDemandUpdate(pool, tokens))
             .collect()
     }
 
-    /// Divides the engines of each pool anew, by what all nodes bring them.
-    pub fn refresh_divisions(&self) {
+    /// Recomputes the split of each pool's engines from the demand at all nodes.
+    pub fn refresh_prefill_splits(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        let others = reading_of_others(&state, now);
+        let others = prefill_of_others(&state, now);
         state.prefill_demand.set_others(others);
         let Some(table) = state.table.clone() else {
             return;
         };
-        // Streams that may pause for any time need no engines of their own.
+        // Pools whose streams may pause for any time need no reserved engines.
         let pools = table
             .pools()
             .filter(|pool| pool.engine.is_some() && table.longest_pause(&pool.name).is_some());
-        let divided = pools.filter_map(|pool| {
-            let prefill_split = self.divide(&state, &pool.name, now)?;
+        let split = pools.filter_map(|pool| {
+            let prefill_split = self.split(&state, &pool.name, now)?;
             Some((pool.name.clone(), prefill_split))
         });
-        let prefill_splits = divided.collect();
+        let prefill_splits = split.collect();
         state.prefill_splits = prefill_splits;
     }
 
-    /// Divides the engines of a pool, where that helps.
-    fn divide(
-        &self,
-        state: &GatewayState,
-        pool: &PoolName,
-        now: Timestamp,
-    ) -> Option<PrefillSplit> {
+    /// Splits the engines of a pool, where that helps.
+    fn split(&self, state: &GatewayState, pool: &PoolName, now: Timestamp) -> Option<PrefillSplit> {
         let tokens = state.prefill_demand.per_second(pool, now);
         let known = state.prefill_splits.get(pool);
         let prices = &self.settings().prices;
-        let intake = self.intake_of_all(state, pool, now);
-        let was_divided = known.is_some();
+        let filter = self.pool_filter(state, pool, now);
+        let was_split = known.is_some();
         let of_pool = state.engines.of_pool(pool);
-        let engines = of_pool.filter(|engine| intake.admits(&engine.entry));
-        let prefill_split = PrefillSplit::from_engines(engines, tokens, prices, was_divided);
+        let engines = of_pool.filter(|engine| filter.admits(&engine.entry));
+        let prefill_split = PrefillSplit::from_engines(engines, tokens, prices, was_split);
         if known != prefill_split.as_ref() {
             info!(self.log(), "engines_divided"; "pool" => %pool,
                 "reading" => prefill_split.as_ref().map(|prefill_split| prefill_split.count(&state.engines)),
@@ -85,7 +86,7 @@
     }
 }
 
-fn reading_of_others(state: &GatewayState, now: Timestamp) -> HashMap<PoolName, f64> {
+fn prefill_of_others(state: &GatewayState, now: Timestamp) -> HashMap<PoolName, f64> {
     let mut sums: HashMap<PoolName, f64> = HashMap::new();
     let is_large = state.peers.is_large();
     let far = state.zone_traffic.reading(now).filter(|_| is_large);
--- /dev/null
+++ b/crates/gateway/src/gateway/published_weights.rs
@@ -0,0 +1,59 @@
+//! Determines when weights were published.
+
+use std::time::Duration;
+
+use ryerouter_core::Timestamp;
+use slog::info;
+
+use super::Gateway;
+use crate::rollout::NamedAt;
+use crate::source::{ItemKind, NamedWeights};
+
+/// A watch that was open for this long was waiting for the change that it reports, and reports it
+/// as it happens. A response that came sooner contains what had happened before the request: the
+/// source answers within milliseconds, or some hundred when it is slow.
+const MIN_WAITING_WATCH: Duration = Duration::from_millis(500);
+
+impl Gateway {
+    /// Applies the publication of weights, reported by the source in response to a request sent at
+    /// `asked_at`.
+    ///
+    /// The weights count as published from the earliest moment at which that may have happened, as
+    /// far as this node and the others know: a node that learns of them late must not use older
+    /// weights for that much longer.
+    pub(super) fn apply_published_weights(
+        &self,
+        named: &NamedWeights,
+        asked_at: Option<Timestamp>,
+    ) {
+        let now = self.clock().now();
+        let at = match self.state().has_weights_list {
+            true => NamedAt::Between(self.earliest_publication(asked_at, now), now),
+            false => NamedAt::Assumed(now.before(self.settings().assumed_weights_age)),
+        };
+        let mut state = self.state_mut();
+        if state.deadlines.note(&named.model, named.version, at) {
+            info!(self.log(), "weights_named"; "model" => &named.model,
+                "version" => named.version, "age_ms" => now.since(at.time()).as_millis() as u64);
+        }
+    }
+
+    fn earliest_publication(&self, asked_at: Option<Timestamp>, now: Timestamp) -> Timestamp {
+        let waited = asked_at.map(|at| now.since(at)).unwrap_or_default();
+        if waited >= MIN_WAITING_WATCH {
+            return now;
+        }
+        let state = self.state();
+        let replica = state.replicas.of(ItemKind::Weights);
+        let as_of = replica.freshness.confirmed_at().max(replica.read_at);
+        // An earlier time would make no difference: older weights must be given up at once in any
+        // case.
+        let settings = self.settings();
+        let earliest = now.before(settings.assumed_weights_age);
+        match as_of {
+            Some(at) if now.since(at) > settings.weights_propagation_time => at.max(earliest),
+            // The grace already allows for a delay of up to `weights_propagation_time`.
+            Some(_) | None => now,
+        }
+    }
+}
--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -1,4 +1,4 @@
-//! Which engines take which requests while software moves; see docs/design/releases.md.
+//! Determines which engines take which requests during a release; see docs/design/releases.md.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,15 +16,16 @@
 };
 use crate::serve::AcceptedRequest;
 
-/// Engines of other versions that are listed by so long after a release was completed were replaced by it:
-/// a node that was just started hears of the release before it has read the list.
-const REPLACED_LISTED_WITHIN: Duration = Duration::from_secs(3);
-/// A release that came to its end is forgotten after so long, when it has nothing to say any more: news of
-/// it may be on the way for some seconds.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+/// Engines of other versions that are listed within this time after the completion of a release
+/// count as replaced by it: a node that has just started learns of the release before it has read
+/// the engine list.
+const REPLACED_VERSION_WINDOW: Duration = Duration::from_secs(3);
+/// How long a finished release without further effect is kept, since updates about it may still be
+/// in transit for some seconds.
+const FINISHED_RELEASE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Gateway {
-    /// Where a request may go that was sent to these engines before.
+    /// The engines that may take a request which has already been sent to those in `tried`.
     pub(crate) fn admission(&self, pool: &PoolName, id: &str, tried: &[BackEndName]) -> Admission {
         let Some(settings) = &self.settings().releases else {
             return Admission::to(EngineFilter::Any);
@@ -34,8 +35,8 @@
         gate.admission(pool, id, tried)
     }
 
-    /// The engines that all requests of a pool go to, taken together, but for the share of a trial.
-    pub(super) fn intake_of_all(
+    /// The engines that take the requests of a pool as a whole, leaving aside the share of a trial.
+    pub(super) fn pool_filter(
         &self,
         state: &GatewayState,
         pool: &PoolName,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// A request is sent to an engine, for the first time or again.
+    /// Counts a request that is sent to an engine, for the first time or again.
     pub fn note_sent(&self, pool: &PoolName, placement: &Placement, is_first: bool) {
         if self.settings().releases.is_none() {
             return;
@@ -91,8 +92,8 @@
         requests.with_label_values(&[pool.as_str(), version]).inc();
     }
 
-    /// Begins to watch the answer to a request that is sent now.
-    pub(crate) fn watch_answer(
+    /// Starts timing the response to a request that is sent now.
+    pub(crate) fn start_answer_timing(
         &self,
         request: &AcceptedRequest,
         placement: &Placement,
@@ -117,40 +118,42 @@
         })
     }
 
-    /// An answer has ended: it is judged, and a present version's tells how long answers take.
-    pub fn note_release_answer(&self, watch: &AnswerTiming, end: AnswerEnd) {
+    /// Judges a finished response. One of the present version also updates the expected response
+    /// times.
+    pub fn note_release_answer(&self, timing: &AnswerTiming, end: AnswerEnd) {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        let has_ended = self.has_ended(&state, &watch.engine, now);
+        let has_crashed = self.has_crashed(&state, &timing.engine, now);
         let end = match end {
-            // All that an engine ran ends with it. Counted one by one, these would outweigh what is wrong with a version.
-            AnswerEnd::Failed if has_ended => AnswerEnd::NotRun,
+            // A crash of an engine ends all its runs. Counted one by one, these would outweigh the
+            // actual faults of a version.
+            AnswerEnd::Failed if has_crashed => AnswerEnd::NotRun,
             end => end,
         };
         let releases = &mut state.releases;
-        let judgement = watch.judge(end, &releases.paces, now);
-        if releases.is_present(&watch.pool, &watch.software) {
-            watch.teach(end, &mut releases.paces, now);
+        let judgement = timing.judge(end, &releases.paces, now);
+        if releases.is_present(&timing.pool, &timing.software) {
+            timing.teach(end, &mut releases.paces, now);
         }
         let Some(judgement) = judgement else {
             return;
         };
-        releases.note(watch, judgement);
-        let known = releases.of(&watch.pool);
+        releases.note(timing, judgement);
+        let known = releases.of(&timing.pool);
         let is_bad = judgement != ryerouter_core::release::Judgement::Good;
         if !is_bad || known.is_none_or(KnownRelease::is_final) {
             return;
         }
         if let Some(left_out) = self.release_sampler().admit(now) {
-            info!(self.log(), "release_answer_bad"; "pool" => %watch.pool,
-                "engine" => %watch.engine, "software" => &watch.software,
-                "judgement" => ?judgement, "end" => ?end, "events" => watch.events,
-                "after_ms" => now.since(watch.sent_at).as_millis() as u64,
+            info!(self.log(), "release_answer_bad"; "pool" => %timing.pool,
+                "engine" => %timing.engine, "software" => &timing.software,
+                "judgement" => ?judgement, "end" => ?end, "events" => timing.events,
+                "after_ms" => now.since(timing.sent_at).as_millis() as u64,
                 "left_out" => left_out);
         }
     }
 
-    /// Judges releases by what all nodes have told, and sees which versions are in use.
+    /// Judges releases by the counts of all nodes, and determines which versions are in use.
     pub fn refresh_releases(&self) {
         let Some(settings) = &self.settings().releases else {
             return;
@@ -170,11 +173,11 @@
             let has_pool = table
                 .as_ref()
                 .is_none_or(|table| table.pool(pool).is_some());
-            let is_old = now.since(known.staged_at) >= REMEMBERED_FOR;
-            is_old && (!has_pool || has_nothing_to_say(known, engines))
+            let is_old = now.since(known.staged_at) >= FINISHED_RELEASE_RETENTION;
+            is_old && (!has_pool || is_obsolete(known, engines))
         });
         let in_use = self.versions_in_use(state, settings, now);
-        self.note_versions(state, in_use);
+        self.log_new_versions(state, in_use);
     }
 
     fn judge(
@@ -221,8 +224,8 @@
         in_use
     }
 
-    /// Tells of versions that nobody ordered and that take requests from now on.
-    fn note_versions(
+    /// Logs versions that were not ordered and that take requests from now on.
+    fn log_new_versions(
         &self,
         state: &mut GatewayState,
         in_use: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
@@ -246,16 +249,16 @@
     }
 }
 
-/// Whether a release was completed and its version has no engine left: others took their place without an
-/// order.
-pub(super) fn has_nothing_to_say(known: &KnownRelease, engines: &EngineTable) -> bool {
+/// Whether a release was completed but its version has no engines left, because others have
+/// replaced them without an order.
+pub(super) fn is_obsolete(known: &KnownRelease, engines: &EngineTable) -> bool {
     let order = &known.grant.order;
     let mut of_pool = engines.of_pool(&order.pool);
     let has_target = of_pool.any(|engine| engine.entry.software == order.target);
     known.grant.stage == Stage::Completed && !has_target
 }
 
-/// Remembers that a release which has just come to its end has replaced all other versions that are listed.
+/// Records that a release which has just finished has replaced all other listed versions.
 pub(super) fn note_all_replaced(known: &mut KnownRelease, engines: &EngineTable) {
     let order = &known.grant.order;
     let versions = ListedVersions::of(engines, &order.pool);
@@ -263,11 +266,12 @@
     known.replaced.extend(others.collect::<Vec<_>>());
 }
 
-/// Remembers which versions a completed release has replaced: not those whose engines all began after the
-/// target version's, as a node that hears of the release long after it may meet a later replacement.
+/// Records the versions that a completed release has replaced. Versions whose engines all started
+/// after those of the target version are left out: a node that learns of the release long after its
+/// end may see a later replacement.
 pub(super) fn note_replaced(known: &mut KnownRelease, engines: &EngineTable, now: Timestamp) {
     let grant = &known.grant;
-    let is_fresh = now.since(known.staged_at) < REPLACED_LISTED_WITHIN;
+    let is_fresh = now.since(known.staged_at) < REPLACED_VERSION_WINDOW;
     if grant.stage != Stage::Completed || !is_fresh {
         return;
     }
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -1,4 +1,4 @@
-//! Grants, counts and engines of a release, as its director and the other nodes take and give them; see
+//! Grants, counts and engines of a release, for its director and for the other nodes; see
 //! docs/design/releases.md.
 
 use std::time::Duration;
@@ -12,23 +12,28 @@
 use crate::engines::Engine;
 
 impl Gateway {
-    /// The director gives a grant: this node goes by it, and tells the others. Another stage every node
-    /// is told at once.
+    /// Applies a grant of the director on this node and publishes it to the others; a new stage is
+    /// sent to every node at once.
     pub fn publish_grant(&self, grant: Grant) {
         let mut state = self.state_mut();
         let pool = grant.order.pool.clone();
-        let is_stage = self.take_grant(&mut state, grant, Duration::ZERO);
+        let is_stage = self.apply_grant(&mut state, grant, Duration::ZERO);
         if is_stage && state.peers.is_large() {
             state.releases.urgent.insert(pool);
         }
         drop(state);
         if is_stage {
-            self.tell_peers_soon();
+            self.request_peer_send();
         }
     }
 
-    /// Takes a grant that the director gave so long ago; tells whether it begins another stage.
-    pub(super) fn take_grant(&self, state: &mut GatewayState, grant: Grant, age: Duration) -> bool {
+    /// Applies a grant that the director gave `age` ago; returns whether it starts another stage.
+    pub(super) fn apply_grant(
+        &self,
+        state: &mut GatewayState,
+        grant: Grant,
+        age: Duration,
+    ) -> bool {
         let now = self.clock().now();
         let pool = grant.order.pool.clone();
         let before = state.releases.of(&pool);
@@ -36,7 +41,8 @@
         let after = (grant.order.clone(), grant.stage);
         let (share, fence, elapsed) = (grant.share, grant.fence, grant.elapsed);
         let is_taken = state.releases.take(grant, now.before(age), now);
-        // A node that has followed the release knows that all others are replaced, also those that began lately.
+        // A node that has followed the release knows that all other versions have been replaced,
+        // including those whose engines started recently.
         let has_followed = before
             .as_ref()
             .is_some_and(|(order, stage)| *order == after.0 && !stage.is_final());
@@ -57,7 +63,7 @@
         is_stage
     }
 
-    /// The newest grant of a pool that this node knows, and its age.
+    /// The newest known grant of a pool, and its age.
     pub fn known_grant(&self, pool: &PoolName) -> Option<(Grant, Duration)> {
         let now = self.clock().now();
         let state = self.state();
@@ -65,8 +71,8 @@
         Some((known.grant.clone(), now.since(known.granted_at)))
     }
 
-    /// A release that this node goes on to direct, if it knows of it.
-    pub fn resumed_trial(&self, order: &Order, settings: &Settings) -> Option<Progress> {
+    /// The progress of a release that this node takes over as director, if it knows of the release.
+    pub fn resumed_release(&self, order: &Order, settings: &Settings) -> Option<Progress> {
         let now = self.clock().now();
         let state = self.state();
         let known = state.releases.of(&order.pool);
@@ -74,7 +80,7 @@
         Some(known.resume(settings.clone(), now))
     }
 
-    /// What all nodes have seen of the answers in a release, as far as they have told.
+    /// Counts of the responses that all nodes have seen in a release, as far as reported.
     pub fn release_counts(&self, order: &Order) -> Counts {
         let state = self.state();
         let is_large = state.peers.is_large();
@@ -96,21 +102,22 @@
         };
         let running = present.iter().map(|engine| engine.load().requests);
         let known = state.releases.of(&order.pool);
-        let is_shut = |engine: &&&Engine| {
+        let is_rejected = |engine: &&&Engine| {
             known.is_some_and(|known| known.rejected.contains(&engine.entry.software))
         };
         let serving: Vec<_> = present
             .iter()
-            .filter(|each| !is_shut(each))
+            .filter(|each| !is_rejected(each))
             .copied()
             .collect();
         let table = state.table.as_ref();
         let longest_request =
             table.map_or(Duration::ZERO, |table| table.longest_timeout(&order.pool));
-        // Without news of the director a node sends nothing new there.
-        let life = self.settings().releases.as_ref();
-        let life = life.map_or(Duration::ZERO, |settings| settings.grant_lifetime());
-        let within = longest_request + life;
+        // A node that receives nothing from the director sends no new requests to the target
+        // version once its grant has expired.
+        let lifetime = self.settings().releases.as_ref();
+        let lifetime = lifetime.map_or(Duration::ZERO, |settings| settings.grant_lifetime());
+        let within = longest_request + lifetime;
         Fleet {
             present: able(&serving),
             target: able(&target),
--- a/crates/gateway/src/gateway/shared.rs
+++ b/crates/gateway/src/gateway/shared.rs
@@ -1,4 +1,4 @@
-//! The gateway's shared handle.
+//! The handle that the tasks of a gateway share.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
@@ -19,20 +19,19 @@
 use crate::telemetry::{LogSampler, Metrics};
 use crate::upstream::Upstream;
 
-/// Within this time a node that was just started comes to know the others, also when all were
-/// started at once.
-pub(crate) const SETTLING: Duration = Duration::from_secs(3);
-/// Nodes that share the retry budget, as long as a new node does not know better.
-const PROCESSES_WHILE_SETTLING: usize = 16;
-/// Of the time for older weights at most this share is left unused because requests begin late.
-const MOST_BEGIN_SHARE: f64 = 0.25;
+/// Time after start within which a node gets to know the others, even when all start at once.
+pub(crate) const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
+/// Minimum number of nodes assumed to share the retry budget while a new node discovers its peers.
+const MIN_PROCESSES_DURING_DISCOVERY: usize = 16;
+/// Maximum share of the grace for older weights that is given up because requests start late.
+const MAX_BEGIN_SHARE: f64 = 0.25;
 
-/// Lines a second that tell of requests that ended unserved: more than a node in trouble needs to
-/// show what is wrong, few enough for the log to bear.
+/// Log lines a second about requests that ended unserved: enough to show what is wrong with a
+/// failing node, without flooding the log.
 const UNSERVED_LINES_PER_SECOND: u32 = 50;
 
-/// Lines a second that tell of entries of the list of engines: enough to see single ones come and go, while a list of
-/// ten thousand is told by its number.
+/// Log lines a second about entries of the engine list: enough to follow single engines, while a
+/// list of ten thousand is logged by its length.
 const ENGINE_LINES_PER_SECOND: u32 = 20;
 
 /// Everything that the tasks of a gateway share.
@@ -50,23 +49,23 @@
     dialect: Rc<dyn Dialect>,
     upstream: Upstream,
     state: RefCell<GatewayState>,
-    pub(super) urgent_news: Notify,
-    /// A request waits for the records of those that are held back.
+    pub(super) send_requested: Notify,
+    /// Notified when a request waits for the records of blocked requests.
     pub(crate) poison_records_wanted: Notify,
-    /// A record is to be written or removed.
+    /// Notified when a record is to be written or removed.
     pub(crate) poison_records_due: Notify,
-    /// Records have been read or written.
+    /// Notified when records have been read or written.
     pub(super) poison_records_changed: Notify,
     leaving: Notify,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway with empty state.
     pub fn new(settings: GatewaySettings, dialect: Rc<dyn Dialect>, log: Logger) -> Rc<Self> {
         Self::with_clock(settings, dialect, log, Clock::start())
     }
 
-    /// The same with a clock that has been started.
+    /// Creates a gateway with a clock that has already been started.
     pub fn with_clock(
         settings: GatewaySettings,
         dialect: Rc<dyn Dialect>,
@@ -87,7 +86,7 @@
             engine_sampler: LogSampler::new(ENGINE_LINES_PER_SECOND),
             signal_sampler: LogSampler::default(),
             dialect,
-            urgent_news: Notify::new(),
+            send_requested: Notify::new(),
             poison_records_wanted: Notify::new(),
             poison_records_due: Notify::new(),
             poison_records_changed: Notify::new(),
@@ -95,7 +94,7 @@
         })
     }
 
-    /// Settings.
+    /// The settings.
     pub fn settings(&self) -> &GatewaySettings {
         &self.settings
     }
@@ -105,47 +104,47 @@
         self.clock
     }
 
-    /// The log.
+    /// The logger.
     pub fn log(&self) -> &Logger {
         &self.log
     }
 
-    /// Bounds lines that tell of what went well.
+    /// Limits log lines about successful requests.
     pub fn sampler(&self) -> &LogSampler {
         &self.sampler
     }
 
-    /// Bounds lines that tell of requests that ended unserved.
+    /// Limits log lines about requests that ended unserved.
     pub fn unserved_sampler(&self) -> &LogSampler {
         &self.unserved_sampler
     }
 
-    /// Bounds lines that tell of requests sent by a list of engines that was old.
+    /// Limits log lines about requests dispatched with an old engine list.
     pub fn old_list_sampler(&self) -> &LogSampler {
         &self.old_list_sampler
     }
 
-    /// Bounds lines that tell of bad answers during a release.
+    /// Limits log lines about bad responses during a release.
     pub fn release_sampler(&self) -> &LogSampler {
         &self.release_sampler
     }
 
-    /// Bounds lines that tell of entries of the list of engines.
+    /// Limits log lines about entries of the engine list.
     pub fn engine_sampler(&self) -> &LogSampler {
         &self.engine_sampler
     }
 
-    /// Bounds lines that tell what engines say of themselves.
+    /// Limits log lines about signals of engines.
     pub fn signal_sampler(&self) -> &LogSampler {
         &self.signal_sampler
     }
 
-    /// Metrics.
+    /// The metrics.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// The translation of heads.
+    /// Translates request and response heads.
     pub fn dialect(&self) -> &dyn Dialect {
         self.dialect.as_ref()
     }
@@ -155,17 +154,17 @@
         &self.upstream
     }
 
-    /// What the gateway believes; never held across an await.
+    /// Borrows the state; the borrow must not be held across an await point.
     pub fn state(&self) -> Ref<'_, GatewayState> {
         self.state.borrow()
     }
 
-    /// The same, to change it.
+    /// Borrows the state mutably; the borrow must not be held across an await point.
     pub fn state_mut(&self) -> RefMut<'_, GatewayState> {
         self.state.borrow_mut()
     }
 
-    /// Chooses an engine.
+    /// Chooses an engine for a request.
     pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<Placement> {
         let admission = self.admission(request.pool, request.id, request.tried);
         let first = self.choose_among(request, &admission.first, admission.unhealthy);
@@ -174,10 +173,13 @@
             self.choose_among(request, fallback, UnhealthyEngines::LastResort)
         })?;
         self.count_distance(&placement);
-        self.count_reading(request, &placement);
+        self.count_prefill_tokens(request, &placement);
         if placement.cost.stale > 0.0 {
             let mut state = self.state_mut();
-            *state.stale_starts.entry(request.pool.clone()).or_default() += 1;
+            *state
+                .stale_weight_starts
+                .entry(request.pool.clone())
+                .or_default() += 1;
         }
         Some(placement)
     }
@@ -199,13 +201,13 @@
     fn choose_among(
         &self,
         request: &PlacementRequest<'_>,
-        intake: &EngineFilter,
+        filter: &EngineFilter,
         unhealthy: UnhealthyEngines,
     ) -> Option<Placement> {
         let state = self.state();
         let table = state.table.as_ref()?;
         let now = self.clock.now();
-        let most_begin = self.settings.weights_grace.mul_f64(MOST_BEGIN_SHARE);
+        let max_begin = self.settings.weights_grace.mul_f64(MAX_BEGIN_SHARE);
         let chooser = Chooser {
             engines: &state.engines,
             holders: &state.holders,
@@ -215,7 +217,7 @@
             max_recent_start_delay: state
                 .start_delays
                 .max_recent(request.pool, now)
-                .min(most_begin),
+                .min(max_begin),
             prices: &self.settings.prices,
             prefill_split: state.prefill_splits.get(request.pool),
             is_large: state.peers.is_large(),
@@ -223,22 +225,23 @@
             topology: &self.settings.topology,
             now,
         };
-        chooser.choose_among(request, intake, unhealthy)
+        chooser.choose_among(request, filter, unhealthy)
     }
 
-    /// Requests of each pool that began on replaced weights since the last call, at all nodes: the
-    /// own ones stand for those of the others, which callers come to by what each bears.
-    pub fn take_stale_starts(&self) -> Vec<(PoolName, f64)> {
+    /// Takes the number of requests of each pool that started on replaced weights since the last
+    /// call, estimated for all nodes: callers reach each node in proportion to its capacity, so
+    /// this node's count is scaled up by its share of the total capacity.
+    pub fn take_stale_weight_starts(&self) -> Vec<(PoolName, f64)> {
         let mut state = self.state_mut();
         let nodes = (state.peers.known_count() + 1) as f64;
         let own_capacity = self.settings.identity.capacity;
         let times = nodes * state.peers.mean_weight(own_capacity) / own_capacity.weight();
-        let own = std::mem::take(&mut state.stale_starts);
+        let own = std::mem::take(&mut state.stale_weight_starts);
         let all = |(pool, count): (PoolName, u32)| (pool, f64::from(count) * times);
         own.into_iter().map(all).collect()
     }
 
-    /// A request for a pool arrived.
+    /// Counts a request that arrived for a pool.
     pub fn count_request(&self, pool: &PoolName) {
         let now = self.clock.now();
         let mut state = self.state_mut();
@@ -247,13 +250,14 @@
         state.requests.count(1.0, now);
     }
 
-    /// Takes a retry from the budget of a pool.
+    /// Takes a retry from a pool's budget, if any is left.
     pub fn spend_retry(&self, pool: &PoolName) -> bool {
         self.spend_retry_of(pool, RetryWindow::spend)
     }
 
-    /// The same for an attempt that has not failed and may only be slow.
-    pub fn spend_spare_retry(&self, pool: &PoolName) -> bool {
+    /// Takes a retry for an attempt that has not failed but may be slow, if the budget has any left
+    /// for such retries.
+    pub fn spend_speculative_retry(&self, pool: &PoolName) -> bool {
         self.spend_retry_of(pool, RetryWindow::spend_speculative)
     }
 
@@ -266,9 +270,9 @@
         let mut state = self.state_mut();
         let known = state.peers.known_count() + 1;
         // Nodes that have just started, perhaps all at once, do not know each other yet.
-        let is_new = now.since(self.clock.start_time()) < SETTLING;
+        let is_new = now.since(self.clock.start_time()) < PEER_DISCOVERY_TIME;
         let processes = match is_new {
-            true => known.max(PROCESSES_WHILE_SETTLING),
+            true => known.max(MIN_PROCESSES_DURING_DISCOVERY),
             false => known,
         };
         let window = state.retries.entry(pool.clone()).or_default();
@@ -280,22 +284,22 @@
         is_allowed
     }
 
-    /// Begins to leave: no new callers, what runs is finished.
+    /// Starts the shutdown: new callers are no longer accepted, requests in progress are finished.
     pub fn leave(&self) {
         self.state_mut().node_state = NodeState::Leaving;
-        self.state_mut().news_for_all = true;
+        self.state_mut().broadcast_next = true;
         info!(self.log, "stopping"; "active_requests" => self.state().active_requests);
-        self.urgent_news.notify_one();
+        self.send_requested.notify_one();
         self.leaving.notify_waiters();
     }
 
-    /// Whether the gateway leaves.
+    /// Whether the gateway is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.state().node_state == NodeState::Leaving
     }
 
-    /// Resolves once the gateway leaves.
-    pub async fn left(&self) {
+    /// Resolves once the gateway is shutting down.
+    pub async fn until_leaving(&self) {
         let notified = self.leaving.notified();
         if self.is_leaving() {
             return;
--- a/crates/gateway/src/gateway/items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -1,4 +1,4 @@
-//! Taking in what the source tells.
+//! Applies what the source reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,44 +14,44 @@
 use crate::peers::NodeState;
 use crate::source::{Consistency, Item, ItemBatch, ItemChange, ItemKind, List, SourceError};
 
-/// An answer that takes no longer shows that the source answered when it was asked: it does so within
-/// milliseconds, and when it is slow within some hundred.
-const PROMPT_ANSWER: Duration = Duration::from_millis(500);
-/// So many calls that fail in a row are a disruption of the source.
-const FAILURES_OF_TROUBLE: u32 = 2;
+/// A response that takes no longer than this shows that the source was available when the request
+/// was sent: it answers within milliseconds, or some hundred when it is slow.
+const PROMPT_RESPONSE_LIMIT: Duration = Duration::from_millis(500);
+/// Minimum number of consecutive failed requests that count as a disruption of the source.
+const MIN_DISRUPTION_FAILURES: u32 = 2;
 
 impl Gateway {
-    /// The source listed all items of a kind at `revision`, to a question sent at `asked_at`.
-    pub fn take_list(&self, kind: ItemKind, items: Vec<Item>, revision: u64, asked_at: Timestamp) {
+    /// Applies the list of all items of a kind at `revision`, read by a request sent at `asked_at`.
+    pub fn apply_list(&self, kind: ItemKind, items: Vec<Item>, revision: u64, asked_at: Timestamp) {
         let list = List {
             items,
             revision,
             consistency: Consistency::Linearizable,
             asked_at,
         };
-        self.take_list_of(kind, list);
+        self.apply_list_of(kind, list);
     }
 
-    /// The same; a list that may be stale proves nothing.
-    pub fn take_list_of(&self, kind: ItemKind, list: List) {
+    /// Applies a list of all items of a kind. A list that may be stale confirms nothing.
+    pub fn apply_list_of(&self, kind: ItemKind, list: List) {
         let now = self.clock().now();
         let asked_at = list.asked_at;
         let is_current = list.consistency == Consistency::Linearizable;
-        let proven_at = is_current.then_some(asked_at);
-        self.note_list(kind, &list.items, list.revision);
+        let confirmed_at = is_current.then_some(asked_at);
+        self.record_list(kind, &list.items, list.revision);
         let mut state = self.state_mut();
         let has_others = state.peers.alive(now).next().is_some();
         let replica = state.replicas.of_mut(kind);
         replica.read_at = Some(asked_at);
-        if now.since(asked_at) >= self.late_copy_age() && has_others {
+        if now.since(asked_at) >= self.late_replica_age() && has_others {
             replica.note_behind(now);
         }
         drop(state);
-        self.replace_all(kind, list.items, proven_at);
+        self.replace_all(kind, list.items, confirmed_at);
     }
 
-    /// Another node hands on the list of engines, which the source does not tell this one.
-    pub(super) fn take_handed_list(
+    /// Applies an engine list from another node, used while the source does not answer this one.
+    pub(super) fn apply_peer_list(
         &self,
         entries: &[EngineEntry],
         unusable: &[BackEndName],
@@ -60,18 +60,19 @@
         let entries = entries.iter().cloned().map(Item::Engine);
         let unusable = unusable.iter().cloned().map(Item::Unusable);
         let items: Vec<_> = entries.chain(unusable).collect();
-        self.note_list(ItemKind::Engines, &items, revision);
+        self.record_list(ItemKind::Engines, &items, revision);
         self.replace_known(ItemKind::Engines, items, None);
     }
 
-    /// The copy is about to become this list.
-    fn note_list(&self, kind: ItemKind, items: &[Item], revision: u64) {
+    /// Appends the changes that a list is about to make to the change log, and advances the replica
+    /// to the revision of the list.
+    fn record_list(&self, kind: ItemKind, items: &[Item], revision: u64) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         if kind == ItemKind::Engines {
             match state.has_engine_list {
                 true => {
-                    let changes = differences(&state.engines, items);
+                    let changes = list_changes(&state.engines, items);
                     state.engine_log.append(changes, revision, now);
                 }
                 false => state.engine_log.restart(revision),
@@ -86,9 +87,10 @@
         replica.is_history_lost = false;
     }
 
-    /// Takes changes up to a revision: from the source, to a question sent at `asked_at`, or from
-    /// another node. What is known already is passed over, since the newest state counts.
-    pub fn take_batch(&self, kind: ItemKind, batch: ItemBatch, asked_at: Option<Timestamp>) {
+    /// Applies changes up to a revision, from the source in response to a request sent at
+    /// `asked_at`, or from another node. A batch older than the replica is ignored, since the
+    /// newest state counts.
+    pub fn apply_batch(&self, kind: ItemKind, batch: ItemBatch, asked_at: Option<Timestamp>) {
         let mut state = self.state_mut();
         if state.replicas.of(kind).revision > Some(batch.revision) {
             return;
@@ -105,141 +107,150 @@
         }
         drop(state);
         match asked_at {
-            Some(asked_at) => self.change_items(kind, batch.changes, asked_at),
+            Some(asked_at) => self.apply_changes(kind, batch.changes, asked_at),
             None => self.apply(kind, batch.changes, None),
         }
     }
 
-    /// The source listed all items of a kind, to a question sent at `asked_at`.
+    /// Replaces all items of a kind by those that the source listed in response to a request sent
+    /// at `asked_at`.
     pub fn replace_items(&self, kind: ItemKind, items: Vec<Item>, asked_at: Timestamp) {
         self.replace_all(kind, items, Some(asked_at));
     }
 
-    fn replace_all(&self, kind: ItemKind, items: Vec<Item>, proven_at: Option<Timestamp>) {
+    fn replace_all(&self, kind: ItemKind, items: Vec<Item>, confirmed_at: Option<Timestamp>) {
         self.note_engine_list_read(kind);
-        self.replace_known(kind, items, proven_at);
-        self.note_source_answer(kind, proven_at);
+        self.replace_known(kind, items, confirmed_at);
+        self.note_source_answer(kind, confirmed_at);
     }
 
-    fn replace_known(&self, kind: ItemKind, items: Vec<Item>, proven_at: Option<Timestamp>) {
+    fn replace_known(&self, kind: ItemKind, items: Vec<Item>, confirmed_at: Option<Timestamp>) {
         if kind == ItemKind::Engines {
             let listed = items.iter().filter_map(entry_name).collect();
             let gone = self.state().engines.names_outside(&listed);
             for name in gone {
-                self.engine_gone(&name);
+                self.handle_entry_removed(&name);
             }
             let mut state = self.state_mut();
             state.unusable_entries.clear();
             state.has_engine_list = true;
         }
         let changes = items.into_iter().map(ItemChange::Present).collect();
-        self.apply(kind, changes, proven_at);
+        self.apply(kind, changes, confirmed_at);
         if kind == ItemKind::Weights {
             self.state_mut().has_weights_list = true;
         }
     }
 
-    /// The source told changes, or that there are none, to a question sent at `asked_at`.
-    pub fn change_items(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Timestamp) {
+    /// Applies changes, or none, that the source reported in response to a request sent at
+    /// `asked_at`.
+    pub fn apply_changes(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Timestamp) {
         self.note_engine_list_read(kind);
         self.apply(kind, changes, Some(asked_at));
         self.note_source_answer(kind, Some(asked_at));
     }
 
-    /// The list of engines can be read again after calls for it had failed: entries that lapsed
-    /// meanwhile may come back from now on.
+    /// Records that the engine list can be read again after failed requests: entries that expired
+    /// meanwhile may return from now on.
     fn note_engine_list_read(&self, kind: ItemKind) {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        if kind == ItemKind::Engines && std::mem::take(&mut state.is_engine_list_lost) {
-            state.engine_list_trouble_at = Some(now);
+        if kind == ItemKind::Engines && std::mem::take(&mut state.is_engine_list_failing) {
+            state.engine_list_disrupted_at = Some(now);
         }
     }
 
-    /// The source answered; `proven_at` the copy was certainly current.
-    fn note_source_answer(&self, kind: ItemKind, proven_at: Option<Timestamp>) {
+    /// Records an answer of the source. If it confirms the replica, `confirmed_at` is when that was
+    /// current.
+    fn note_source_answer(&self, kind: ItemKind, confirmed_at: Option<Timestamp>) {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        state.is_source_reached = true;
+        state.is_source_reachable = true;
         state.source_answered_at = Some(now);
-        if let Some(proven_at) = proven_at {
+        if let Some(confirmed_at) = confirmed_at {
             let replica = state.replicas.of_mut(kind);
-            // A late answer may lack what another node has told meanwhile.
-            if replica.behind_since <= Some(proven_at) {
+            // A late answer may lack what another node has reported meanwhile.
+            if replica.behind_since <= Some(confirmed_at) {
                 replica.note_caught_up();
             }
-            replica.freshness.prove(proven_at);
+            replica.freshness.confirm(confirmed_at);
         }
         drop(state);
-        self.become_ready();
+        self.update_readiness();
     }
 
-    /// The source answered a question that was asked at `asked_at` and might wait for `wait`.
-    pub(crate) fn note_answer_time(&self, asked_at: Timestamp, wait: Duration) {
+    /// Records that the source answered a request that was sent at `asked_at` and might wait for
+    /// `wait`.
+    pub(crate) fn note_response_time(&self, asked_at: Timestamp, wait: Duration) {
         let taken = self.clock().now().since(asked_at);
-        if taken < wait + PROMPT_ANSWER {
+        if taken < wait + PROMPT_RESPONSE_LIMIT {
             self.state_mut().steadiness.note(asked_at);
         }
     }
 
-    /// Whether the source answered this node or another one after `moment`, as far as is known.
+    /// Whether the source is known to have answered this node or another one after `moment`.
     pub fn source_answered_since(&self, moment: Timestamp) -> bool {
         let answered_at = self.state().source_answered_at;
         answered_at.is_some_and(|at| at > moment)
     }
 
-    /// Takes changes in; those of the source came to a question sent at `asked_at`.
+    /// Applies changes. `asked_at` is the send time of the request to the source that returned
+    /// them, if any.
     fn apply(&self, kind: ItemKind, changes: Vec<ItemChange>, asked_at: Option<Timestamp>) {
         for change in changes {
             match change {
                 ItemChange::Present(Item::Configuration(table)) => self.adopt_table(table),
-                ItemChange::Present(Item::Engine(entry)) => self.engine_listed(entry),
-                ItemChange::Present(Item::Unusable(name)) => self.engine_unusable(&name),
+                ItemChange::Present(Item::Engine(entry)) => self.apply_engine_entry(entry),
+                ItemChange::Present(Item::Unusable(name)) => self.handle_entry_unusable(&name),
                 ItemChange::Present(Item::Weights(named)) => {
-                    self.weights_named(&named, asked_at);
+                    self.apply_published_weights(&named, asked_at);
                 }
                 ItemChange::Gone(name) if kind == ItemKind::Engines => {
-                    self.engine_gone(&BackEndName::new(name));
+                    self.handle_entry_removed(&BackEndName::new(name));
                 }
                 ItemChange::Gone(_) => {}
             }
         }
     }
 
-    /// A call to the source failed; `failures` of this kind in a row.
+    /// Handles a failed request to the source; `failures` is the number of consecutive ones for
+    /// this kind.
     pub fn note_source_failure(&self, kind: ItemKind, error: &SourceError, failures: u32) {
         if kind == ItemKind::Engines && *error == SourceError::NoAnswer {
-            // Entries lapse within three heartbeats: a second such call would come too late.
-            self.note_engine_list_lost();
+            // Entries expire within three heartbeats, so waiting for a second failure would be too
+            // late.
+            self.note_engine_list_failure();
         }
-        self.note_source_trouble(kind, failures);
+        self.note_source_disruption(kind, failures);
     }
 
-    fn note_engine_list_lost(&self) {
+    fn note_engine_list_failure(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        state.engine_list_trouble_at = Some(now);
-        state.is_engine_list_lost = true;
+        state.engine_list_disrupted_at = Some(now);
+        state.is_engine_list_failing = true;
     }
 
-    /// The same, whatever the error. A single one may be a watch that was cut in calm times.
-    pub fn note_source_trouble(&self, kind: ItemKind, failures: u32) {
-        self.state_mut().is_source_reached = false;
-        if failures < FAILURES_OF_TROUBLE {
+    /// Handles the last of `failures` consecutive failed requests to the source, whatever the
+    /// error. A single failure is no disruption: it may be a watch that was closed in normal
+    /// operation.
+    pub fn note_source_disruption(&self, kind: ItemKind, failures: u32) {
+        self.state_mut().is_source_reachable = false;
+        if failures < MIN_DISRUPTION_FAILURES {
             return;
         }
         if kind == ItemKind::Engines {
-            self.note_engine_list_lost();
+            self.note_engine_list_failure();
         }
         let now = self.clock().now();
         let mut state = self.state_mut();
-        // Where the source answers others, only this node's way to it is harmed.
-        if !state.steadiness.holds(self.settings().entry_lapse, now) {
+        // If the source answers other nodes, only this node's connection to it is impaired.
+        if !state.steadiness.holds(self.settings().entry_ttl, now) {
             state.deadlines.extend_from(now);
         }
     }
 
-    /// Version of the configuration, once one is known.
+    /// Version of the configuration; `None` until one is known.
     pub fn configuration_version(&self) -> Option<u64> {
         self.state().table.as_ref().map(|table| table.version())
     }
@@ -256,14 +267,14 @@
             .configuration_version
             .set(table.version() as i64);
         state.table = Some(table);
-        // If another node knows a still newer one, it tells that again.
+        // If another node has a still newer configuration, it reports that again.
         let replica = state.replicas.of_mut(ItemKind::Configuration);
         replica.note_caught_up();
     }
 
-    pub(super) fn engine_listed(&self, entry: EngineEntry) {
+    pub(super) fn apply_engine_entry(&self, entry: EngineEntry) {
         let mut state = self.state_mut();
-        if self.take_life(&mut state, &entry) == IncarnationOrder::Older {
+        if self.apply_incarnation(&mut state, &entry) == IncarnationOrder::Older {
             return;
         }
         state.unusable_entries.remove(&entry.name);
@@ -272,8 +283,11 @@
             .get(&entry.name)
             .map(|known| known.entry.state);
         let now = self.clock().now();
-        let is_news = before != Some(entry.state);
-        if let Some(left_out) = is_news.then(|| self.engine_sampler().admit(now)).flatten() {
+        let is_new_state = before != Some(entry.state);
+        if let Some(left_out) = is_new_state
+            .then(|| self.engine_sampler().admit(now))
+            .flatten()
+        {
             info!(self.log(), "engine_listed"; "engine" => %entry.name, "pool" => %entry.pool,
                 "address" => %entry.address, "zone" => %entry.zone,
                 "draining" => entry.state == EngineState::Draining, "left_out" => left_out);
@@ -290,33 +304,33 @@
         self.metrics().engines.set(state.engines.count() as i64);
     }
 
-    /// An entry went: at once out of use, but while the source was in trouble, which loses entries
-    /// of engines that still serve.
-    fn engine_gone(&self, name: &BackEndName) {
+    /// Handles a removed entry. The engine is dropped at once, unless the source was disrupted,
+    /// which removes entries of engines that still serve.
+    fn handle_entry_removed(&self, name: &BackEndName) {
         let now = self.clock().now();
         let grace = self.settings().unlisted_grace;
         let mut state = self.state_mut();
         state.unusable_entries.remove(name);
-        let trouble_age = state.engine_list_trouble_at.map(|at| now.since(at));
+        let disruption_age = state.engine_list_disrupted_at.map(|at| now.since(at));
         if state.may_entries_return(grace, now)
             && let Some(engine) = state.engines.get_mut(name)
             && engine.is_staying()
         {
             engine.is_unlisted = true;
-            state.has_unlisted = true;
+            state.has_unlisted_engines = true;
             warn!(self.log(), "engine_unlisted"; "engine" => %name,
-                "trouble_age_ms" => trouble_age.map(|age| age.as_millis() as u64));
+                "trouble_age_ms" => disruption_age.map(|age| age.as_millis() as u64));
             return;
         }
         drop(state);
         self.remove_engine(name);
     }
 
-    /// An entry can't be read: another writer has put it in the place of the engine's, which is no lapse,
-    /// so the engine is out of use at once, also while the source is in trouble.
-    fn engine_unusable(&self, name: &BackEndName) {
-        let is_news = self.state_mut().unusable_entries.insert(name.clone());
-        if is_news {
+    /// Handles an entry that can't be parsed. Another writer has replaced the engine's entry, which
+    /// is no expiry, so the engine is dropped at once even during a disruption of the source.
+    fn handle_entry_unusable(&self, name: &BackEndName) {
+        let is_new = self.state_mut().unusable_entries.insert(name.clone());
+        if is_new {
             warn!(self.log(), "engine_unusable"; "engine" => %name);
         }
         self.remove_engine(name);
@@ -330,7 +344,7 @@
                 info!(self.log(), "engine_gone"; "engine" => %name, "left_out" => left_out);
             }
             if let Some(incarnation) = engine.entry.incarnation {
-                state.lives.note_unlisted(name, incarnation, now);
+                state.incarnations.note_unlisted(name, incarnation, now);
             }
         }
         state.holders.forget_engine(name);
@@ -338,55 +352,57 @@
         self.upstream().forget(name);
     }
 
-    /// Removes engines whose entry went during trouble and did not come back.
+    /// Drops engines whose entries were removed during a disruption and have not returned.
     pub fn remove_unlisted(&self) {
         let now = self.clock().now();
         let grace = self.settings().unlisted_grace;
         let state = self.state();
-        if !state.has_unlisted || state.may_entries_return(grace, now) {
+        if !state.has_unlisted_engines || state.may_entries_return(grace, now) {
             return;
         }
         let unlisted = state.engines.iter().filter(|engine| engine.is_unlisted);
         let names: Vec<_> = unlisted.map(|engine| engine.entry.name.clone()).collect();
         drop(state);
-        self.state_mut().has_unlisted = false;
+        self.state_mut().has_unlisted_engines = false;
         for name in names {
-            self.engine_gone(&name);
+            self.handle_entry_removed(&name);
         }
     }
 
-    /// Whether some engine that stays has older weights than named.
-    pub fn has_engines_behind(&self) -> bool {
+    /// Whether any engine that stays has older weights than published.
+    pub fn has_outdated_engines(&self) -> bool {
         let mut state = self.state_mut();
         let state = &mut *state;
-        let behind = &mut state.engines_behind;
+        let behind = &mut state.outdated_engines;
         behind.is_any(&state.engines, &state.deadlines)
     }
 
-    /// Where an engine listens.
+    /// Address of an engine.
     pub fn address_of(&self, engine: &BackEndName) -> Option<SocketAddr> {
         let state = self.state();
         state.engines.get(engine).map(|known| known.entry.address)
     }
 
-    pub(super) fn become_ready(&self) {
+    pub(super) fn update_readiness(&self) {
         let now = self.clock().now();
         let mut state = self.state_mut();
         let knows_all = state.table.is_some() && state.has_engine_list;
-        // A list that came late is completed by the node that knows more, if that answers; otherwise
-        // a node that starts while answers are 3 s late serves engines that left 5 s before.
+        // A list that arrived late is first completed by the node that knows more, if it answers.
+        // Otherwise a node that starts while answers are 3 s late serves with engines that left 5 s
+        // before.
         let list = state.replicas.of(ItemKind::Engines);
-        let is_old = list.is_behind() && !list.is_behind_for(self.settings().catalogue_bound, now);
+        let is_old =
+            list.is_behind() && !list.is_behind_for(self.settings().propagation_limit, now);
         if knows_all && !is_old && state.node_state == NodeState::Starting {
             state.node_state = NodeState::Ready;
             info!(self.log(), "ready"; "engines" => state.engines.count());
-            self.urgent_news.notify_one();
+            self.send_requested.notify_one();
         }
     }
 }
 
-/// What a list changes of the engines that are known.
-fn differences(engines: &EngineTable, items: &[Item]) -> Vec<ItemChange> {
+/// The changes that a list makes to the known engines.
+fn list_changes(engines: &EngineTable, items: &[Item]) -> Vec<ItemChange> {
     let listed = items.iter().filter_map(entry_name).collect();
     let gone = engines.names_outside(&listed);
     let gone = gone
@@ -405,7 +421,7 @@
     gone.chain(changed).collect()
 }
 
-/// Name of an entry of the list of engines.
+/// Name of the engine of a list item.
 fn entry_name(item: &Item) -> Option<&BackEndName> {
     match item {
         Item::Engine(entry) => Some(&entry.name),
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -1,4 +1,5 @@
-//! Who reads the source, and how the other nodes catch up; see docs/design/reading.md.
+//! Determines which nodes read the source, and synchronises the others from them; see
+//! docs/design/reading.md.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,47 +8,50 @@
 use ryerouter_core::identity::NodeName;
 use slog::{debug, info};
 
-use super::{Gateway, GatewayState, ProofOfFreshness, SETTLING};
+use super::{Freshness, Gateway, GatewayState, PEER_DISCOVERY_TIME};
 use crate::engines::{Engine, EngineEntry};
 use crate::peers::NodeIdentity;
 use crate::source::{ItemBatch, ItemKind};
 use crate::sync::{Answer, Changes, EngineChange, Mark, Question};
 
-/// Most changes of the list of engines in one answer, as entries of some 200 bytes each ..
-const MOST_CHANGES: usize = 40;
-/// .. and in groups, with some 50 bytes each, of which they fill a datagram. Where more engines change at once, the list is
-/// handed on.
-const MOST_GROUPED_CHANGES: usize = 1_000;
-/// Of few nodes each watches the source itself, and changes reach all within milliseconds. So long a
-/// node that hears of a change first waits for its own watch, and then asks the node that told: where
-/// the source answers one of seven nodes 1.6 s late, that one knows of a second change in a row in
-/// under 2 s, and 2.9 s after it without asking (virtual clock, longest of four plays).
-const OWN_WATCH_PATIENCE: Duration = Duration::from_millis(100);
-/// Of many nodes a copy that is older than this share of what is allowed is late: two watches, three
-/// questions and their answers together stay below. A reader of twelve nodes that the source answers 3 s
-/// late asks another one then, and knows of changes in under 2 s; without asking it had not heard of
-/// two in a row after 20 s (virtual clock, longest of four plays).
-const OLD_SHARE: f64 = 0.5;
-/// So much newer another node's proof must be to be worth a question.
-const LEAST_LEAD: Duration = Duration::from_millis(200);
-/// The source tells what it is asked within milliseconds, and within some hundred when it is slow. A
-/// node that it has not told in this time takes what other nodes have: it starts within 2 s where the
-/// source answers all others, and did not within 20 s without (virtual clock, 2 to 12 nodes).
-pub(super) const SOURCE_PATIENCE: Duration = Duration::from_millis(500);
-/// A list of more engines is not handed on: it would fill a datagram.
-const MOST_LISTED: usize = 128;
-/// A reader whose copies are older than this share of what is allowed is no good.
-const STALE_SHARE: f64 = 0.65;
+/// Maximum number of changes of the engine list in one answer, as entries of some 200 bytes each.
+const MAX_CHANGES: usize = 40;
+/// Maximum number of changes in one answer where they are grouped, at some 50 bytes each, which
+/// fills a datagram. Where more engines change at once, the whole list is transferred.
+const MAX_GROUPED_CHANGES: usize = 1_000;
+/// In a small deployment each node watches the source itself, and changes reach all nodes within
+/// milliseconds. A node that another one reports a change to waits for its own watch for this time,
+/// then asks the reporting node. Where the source answers one of seven nodes 1.6 s late, that node
+/// learns of the second of two consecutive changes in under 2 s; without asking it took 2.9 s
+/// (virtual clock, maximum of four runs).
+const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
+/// In a large deployment a replica older than this share of the propagation limit is late: two
+/// watches, three questions and their answers together take less. A reader among twelve nodes that
+/// the source answers 3 s late then asks another node and learns of changes in under 2 s; without
+/// asking it had missed two consecutive changes after 20 s (virtual clock, maximum of four runs).
+const LATE_REPLICA_SHARE: f64 = 0.5;
+/// Minimum lead of another node's confirmation over this node's to justify a question.
+const MIN_FRESHNESS_LEAD: Duration = Duration::from_millis(200);
+/// The source answers within milliseconds, or some hundred when it is slow. A node that has had no
+/// answer for this time uses what other nodes have. It then starts within 2 s where the source
+/// answers all other nodes; without this it did not start within 20 s (virtual clock, 2 to 12
+/// nodes).
+pub(super) const SOURCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of engines of a list in an answer; a longer one would exceed a datagram.
+const MAX_LISTED_ENGINES: usize = 128;
+/// A reader whose replicas are older than this share of the propagation limit is not asked again
+/// soon.
+const STALE_READER_SHARE: f64 = 0.65;
 
 /// How a node keeps up with the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It watches the source for itself, as every node of a small deployment does.
-    Watches,
-    /// It watches the source for the nodes that rely on it.
-    Reads,
-    /// It asks another node, and the source only when that does not help.
-    Relies,
+    /// Watches the source for itself, as every node of a small deployment does.
+    Watcher,
+    /// Watches the source on behalf of the nodes that follow it.
+    Reader,
+    /// Asks another node, and the source only when that does not help.
+    Follower,
 }
 
 impl Gateway {
@@ -56,43 +60,44 @@
         let now = self.clock().now();
         let state = self.state();
         if !state.peers.is_large() {
-            return Role::Watches;
+            return Role::Watcher;
         }
-        let is_newcomer = self.uptime() < SETTLING && !state.peers.is_settled();
-        let has_parent = is_newcomer || self.parent(&state, now).is_some();
-        // Nodes that ask this one out of turn could not rely on its parent.
+        let is_new = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
+        let has_parent = is_new || self.parent(&state, now).is_some();
+        // Nodes that ask this one although it is not their reader could not rely on its parent.
         let is_stand_in = state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
         match has_parent && !is_stand_in && !state.is_order_candidate {
-            true => Role::Relies,
-            false => Role::Reads,
+            true => Role::Follower,
+            false => Role::Reader,
         }
     }
 
-    /// Whether this node reads for its zone what a node of another zone tells it.
+    /// Whether this node is the reader of its zone in a large deployment.
     pub fn is_zone_reader(&self) -> bool {
         let now = self.clock().now();
         let state = self.state();
         state.peers.is_large() && self.reader(&state, now).is_none()
     }
 
-    /// Whether this node asks another one twice as often: it reads for its zone, is one of few and asks only while
-    /// it is behind, or stands in a wide zone, where what it is told has passed through one node more.
+    /// Whether this node sends questions twice as often: as the reader of its zone, as a node of a
+    /// small deployment, which asks only while it is behind, or in a wide zone, where answers have
+    /// passed through one more node.
     pub fn asks_often(&self) -> bool {
-        let is_few_or_many = {
+        let is_small_or_wide = {
             let state = self.state();
             !state.peers.is_large() || state.peers.is_wide()
         };
-        is_few_or_many || self.is_zone_reader()
+        is_small_or_wide || self.is_zone_reader()
     }
 
-    /// The next question, and where to send it; `None` while this node does not rely on another.
+    /// The next question and its receiver; `None` while this node follows no other.
     pub fn next_question(&self) -> Option<(SocketAddr, Question)> {
         let now = self.clock().now();
         let mut state = self.state_mut();
         if let Some(silent) = state.sync.give_up_silent(now) {
             info!(self.log(), "reader_silent"; "reader" => %silent);
         }
-        let (reader, address) = self.whom_to_ask(&state, now)?;
+        let (reader, address) = self.sync_target(&state, now)?;
         let number = state.sync.ask(reader, now);
         let revision = |kind| state.replicas.of(kind).revision;
         let question = Question {
@@ -105,11 +110,11 @@
         Some((address, question))
     }
 
-    /// The node that this one catches up with: in a large deployment its reader; one of few nodes, or a
-    /// reader itself, asks one that knows what it lacks.
-    fn whom_to_ask(&self, state: &GatewayState, now: Timestamp) -> Option<(NodeName, SocketAddr)> {
-        let better = match self.lacks_news(state, now) {
-            true => state.ahead.as_ref(),
+    /// The node that this one catches up with. In a large deployment that is its parent; nodes of a
+    /// small deployment, and nodes without a parent, ask one that is known to be ahead.
+    fn sync_target(&self, state: &GatewayState, now: Timestamp) -> Option<(NodeName, SocketAddr)> {
+        let better = match self.is_lagging(state, now) {
+            true => state.peer_ahead.as_ref(),
             false => None,
         };
         let better = better.filter(|node| state.sync.may_ask(&node.name, now));
@@ -120,41 +125,44 @@
         }
     }
 
-    /// Whether the source tells this node later than others: few nodes prove their copies to each other,
-    /// and of many every copy is proven within the time that readers need.
-    fn lacks_news(&self, state: &GatewayState, now: Timestamp) -> bool {
+    /// Whether the source reports changes to this node later than to others. In a small deployment
+    /// nodes confirm each other's replicas; in a large one every replica is confirmed within the
+    /// time that readers need.
+    fn is_lagging(&self, state: &GatewayState, now: Timestamp) -> bool {
         if self.wants_list(state, now) {
             return true;
         }
         if !state.peers.is_large() {
             let kinds = [ItemKind::Engines, ItemKind::Weights];
             let mut replicas = kinds.iter().map(|kind| state.replicas.of(*kind));
-            return replicas.any(|replica| replica.is_behind_for(OWN_WATCH_PATIENCE, now));
+            return replicas.any(|replica| replica.is_behind_for(OWN_WATCH_TIMEOUT, now));
         }
         let replica = state.replicas.of(ItemKind::Engines);
-        let known_at = replica.freshness.proven_at().max(replica.read_at);
-        known_at.is_some_and(|at| now.since(at) >= self.late_copy_age())
+        let as_of = replica.freshness.confirmed_at().max(replica.read_at);
+        as_of.is_some_and(|at| now.since(at) >= self.late_replica_age())
     }
 
-    /// A copy of this age came late, or was not brought up to date in time.
-    pub(super) fn late_copy_age(&self) -> Duration {
-        self.settings().catalogue_bound.mul_f64(OLD_SHARE)
+    /// Age from which a replica counts as late.
+    pub(super) fn late_replica_age(&self) -> Duration {
+        self.settings()
+            .propagation_limit
+            .mul_f64(LATE_REPLICA_SHARE)
     }
 
-    /// Of many nodes one that tells of a newer proof is asked by a reader that the source tells late; the
-    /// others leave such a reader by themselves.
-    pub(super) fn note_better_informed(
+    /// In a large deployment, lets a node whose own replica is late ask another one whose replica
+    /// was confirmed more recently. Nodes that are not late ignore such reports.
+    pub(super) fn note_better_informed_peer(
         &self,
         state: &mut GatewayState,
         node: &NodeIdentity,
-        proven_at: Timestamp,
+        confirmed_at: Timestamp,
         now: Timestamp,
     ) {
         let replica = state.replicas.of(ItemKind::Engines);
-        let own = replica.freshness.proven_at().max(replica.read_at);
-        let is_newer = own.is_none_or(|own| own.after(LEAST_LEAD) < proven_at);
-        if is_newer && state.peers.is_large() && self.lacks_news(state, now) {
-            state.note_ahead(node, now);
+        let own = replica.freshness.confirmed_at().max(replica.read_at);
+        let is_newer = own.is_none_or(|own| own.after(MIN_FRESHNESS_LEAD) < confirmed_at);
+        if is_newer && state.peers.is_large() && self.is_lagging(state, now) {
+            state.note_peer_ahead(node, now);
         }
     }
 
@@ -164,26 +172,26 @@
         let mut state = self.state_mut();
         state.sync.note_asked(now);
         let version = state.table.as_ref().map(|table| table.version());
-        let most = match question.reads_groups {
-            true => MOST_GROUPED_CHANGES,
-            false => MOST_CHANGES,
+        let max = match question.reads_groups {
+            true => MAX_GROUPED_CHANGES,
+            false => MAX_CHANGES,
         };
-        let catch_up = self.catch_up(&state, question, most);
+        let catch_up = self.catch_up(&state, question, max);
         let revision = catch_up.as_ref().map(|(revision, _)| *revision);
         let is_list_wanted = question.wants_list && catch_up.is_none();
         let weights = self.knows_weights_after(&state, question.weights);
         let weights = weights.then(|| replica_mark(&state, ItemKind::Weights, now));
-        let has_news = state.replicas.of(ItemKind::Weights).revision > question.weights;
+        let has_new_weights = state.replicas.of(ItemKind::Weights).revision > question.weights;
         Answer {
             number: question.number,
             configuration: mark(version, state.freshness(), now),
             engines: replica_mark(&state, ItemKind::Engines, now),
             weights: weights.flatten(),
             trouble_age_ms: state
-                .engine_list_trouble_at
+                .engine_list_disrupted_at
                 .map(|at| now.since(at).as_millis() as u64),
             list: match is_list_wanted {
-                true => whole_list(&state),
+                true => complete_list(&state),
                 false => Vec::new(),
             },
             unusable: match is_list_wanted {
@@ -199,15 +207,15 @@
                 false => catch_up.map_or_else(Vec::new, |(_, changes)| changes),
             },
             revision,
-            named: match has_news {
-                true => self.named_news(&state, Duration::MAX),
+            named: match has_new_weights {
+                true => self.publications(&state, Duration::MAX),
                 false => Vec::new(),
             },
         }
     }
 
-    /// Whether this node saw every version come that was named after `revision`; what was there
-    /// when it started it can only date by assumption, which must not spread.
+    /// Whether this node has seen the publication of every version after `revision`. It can only
+    /// assume the age of versions that were there when it started, and assumptions must not spread.
     fn knows_weights_after(&self, state: &GatewayState, revision: Option<u64>) -> bool {
         let begin = state.weights_seen_after;
         begin.is_some() && revision >= begin
@@ -217,63 +225,64 @@
         &self,
         state: &GatewayState,
         question: &Question,
-        most: usize,
+        max: usize,
     ) -> Option<(u64, Vec<EngineChange>)> {
         let newest = state.replicas.of(ItemKind::Engines).revision?;
         let known = question.engines?;
-        let caught_up = state.engine_log.after(known, newest, most)?;
+        let caught_up = state.engine_log.after(known, newest, max)?;
         let changes = caught_up.changes.into_iter();
         let changes = changes.filter_map(EngineChange::of).collect();
         Some((caught_up.revision, changes))
     }
 
-    /// Whether the source has told this node no list of engines, or no changes of it, for longer than it
-    /// takes.
+    /// Whether the source has not delivered the engine list, or known changes of it, for longer
+    /// than it normally takes.
     pub(super) fn wants_list(&self, state: &GatewayState, now: Timestamp) -> bool {
         let replica = state.replicas.of(ItemKind::Engines);
         match replica.revision {
-            None => self.uptime() >= SOURCE_PATIENCE,
-            Some(_) => replica.is_behind_for(SOURCE_PATIENCE, now),
+            None => self.uptime() >= SOURCE_TIMEOUT,
+            Some(_) => replica.is_behind_for(SOURCE_TIMEOUT, now),
         }
     }
 
-    /// Takes the answer of a reader; tells whether it brought some of what this node lacks, so that the rest is to be
-    /// asked for at once. While a fleet starts more changes than one answer holds between two questions, and a copy that
-    /// is never complete is never proven: each node then asked the source for them.
-    pub fn take_answer(&self, answer: Answer) -> bool {
+    /// Applies a reader's answer. Returns whether it contained only part of what this node lacks,
+    /// so that the rest should be asked for at once. While many engines start, more changes arrive
+    /// between two questions than one answer holds. A replica that is never complete is never
+    /// confirmed, and without this each node then asked the source.
+    pub fn apply_answer(&self, answer: Answer) -> bool {
         let Some((reader, asked_at)) = self.state_mut().sync.close(answer.number) else {
             return false;
         };
         let before = self.state().replicas.of(ItemKind::Engines).revision;
-        self.take_engines(&answer, asked_at);
-        self.take_weights(&answer, asked_at);
-        self.take_configuration(&answer, &reader, asked_at);
-        self.judge_reader(&reader, &answer);
-        self.become_ready();
+        self.apply_engines(&answer, asked_at);
+        self.apply_weights(&answer, asked_at);
+        self.apply_configuration(&answer, &reader, asked_at);
+        self.avoid_stale_reader(&reader, &answer);
+        self.update_readiness();
         let after = self.state().replicas.of(ItemKind::Engines).revision;
         let newest = answer.engines.map(|mark| mark.position);
         before < after && after < newest
     }
 
-    fn take_engines(&self, answer: &Answer, asked_at: Timestamp) {
+    fn apply_engines(&self, answer: &Answer, asked_at: Timestamp) {
         let Some(mark) = answer.engines else {
             return;
         };
         if let Some(age_ms) = answer.trouble_age_ms {
             let at = asked_at.before(Duration::from_millis(age_ms));
             let mut state = self.state_mut();
-            state.engine_list_trouble_at = state.engine_list_trouble_at.max(Some(at));
+            state.engine_list_disrupted_at = state.engine_list_disrupted_at.max(Some(at));
         }
         let is_newer = self.state().replicas.of(ItemKind::Engines).revision < Some(mark.position);
         if !answer.list.is_empty() && is_newer {
             info!(self.log(), "engine_list_handed_over"; "revision" => mark.position,
                 "engines" => answer.list.len());
-            self.take_handed_list(&answer.list, &answer.unusable, mark.position);
+            self.apply_peer_list(&answer.list, &answer.unusable, mark.position);
         } else if answer.revision.is_none() {
             let now = self.clock().now();
             let mut state = self.state_mut();
             let replica = state.replicas.of_mut(ItemKind::Engines);
-            // Before its first list a node has nothing that could be behind.
+            // A node without a list has nothing yet that could be behind.
             if replica.revision.is_some() && replica.revision < Some(mark.position) {
                 replica.note_behind(now);
             }
@@ -283,30 +292,30 @@
             let changes = answer.changes.iter().cloned().chain(grouped);
             let changes = changes.map(Into::into).collect();
             let batch = ItemBatch { changes, revision };
-            self.take_batch(ItemKind::Engines, batch, None);
+            self.apply_batch(ItemKind::Engines, batch, None);
         }
-        self.take_mark(ItemKind::Engines, mark, asked_at);
+        self.apply_mark(ItemKind::Engines, mark, asked_at);
     }
 
-    fn take_weights(&self, answer: &Answer, asked_at: Timestamp) {
+    fn apply_weights(&self, answer: &Answer, asked_at: Timestamp) {
         let Some(mark) = answer.weights else {
             return;
         };
-        self.take_named_news(&answer.named);
+        self.apply_publications(&answer.named);
         let now = self.clock().now();
         let mut state = self.state_mut();
         let replica = state.replicas.of_mut(ItemKind::Weights);
         if replica.revision.is_some() {
             let revision = replica.revision.max(Some(mark.position));
             replica.advance(revision.unwrap_or(mark.position), now);
-            // Whether the versions that were told are all that changed is not known here.
+            // It is not known whether the reported versions are the only changes.
             replica.changed_until = replica.changed_until.max(Some(mark.position));
         }
         drop(state);
-        self.take_mark(ItemKind::Weights, mark, asked_at);
+        self.apply_mark(ItemKind::Weights, mark, asked_at);
     }
 
-    fn take_configuration(&self, answer: &Answer, reader: &NodeName, asked_at: Timestamp) {
+    fn apply_configuration(&self, answer: &Answer, reader: &NodeName, asked_at: Timestamp) {
         let Some(mark) = answer.configuration else {
             return;
         };
@@ -319,15 +328,16 @@
             self.note_reader_ahead(&mut state, reader, mark.position);
             return;
         }
-        replica.freshness.prove(counted_back(asked_at, mark));
+        replica.freshness.confirm(confirmed_time(asked_at, mark));
     }
 
-    /// The copy was current when the reader's was, if it has come as far.
-    fn take_mark(&self, kind: ItemKind, mark: Mark, asked_at: Timestamp) {
+    /// Confirms the replica as of the time when the reader's was confirmed, provided it has the
+    /// same changes.
+    fn apply_mark(&self, kind: ItemKind, mark: Mark, asked_at: Timestamp) {
         let mut state = self.state_mut();
         let replica = state.replicas.of_mut(kind);
         if replica.revision >= Some(mark.position) {
-            replica.freshness.prove(counted_back(asked_at, mark));
+            replica.freshness.confirm(confirmed_time(asked_at, mark));
             replica.note_current();
         } else if kind == ItemKind::Engines {
             debug!(self.log(), "engine_list_behind"; "revision" => replica.revision,
@@ -335,12 +345,15 @@
         }
     }
 
-    /// A reader that knows nothing recent itself is not asked again soon. One that has nothing yet is no worse than this
-    /// node, as long as it has nothing either: where all start before there is a configuration, each would otherwise
-    /// leave all readers and read for itself.
-    fn judge_reader(&self, reader: &NodeName, answer: &Answer) {
+    /// Avoids a reader for a while if it has nothing recent itself. A reader that has nothing at
+    /// all is tolerated as long as this node has nothing either: where all nodes start before there
+    /// is a configuration, each would otherwise reject every reader and read the source for itself.
+    fn avoid_stale_reader(&self, reader: &NodeName, answer: &Answer) {
         let now = self.clock().now();
-        let limit = self.settings().catalogue_bound.mul_f64(STALE_SHARE);
+        let limit = self
+            .settings()
+            .propagation_limit
+            .mul_f64(STALE_READER_SHARE);
         let mut state = self.state_mut();
         let marks = [
             (answer.configuration, ItemKind::Configuration),
@@ -349,7 +362,7 @@
         let is_stale = marks.into_iter().any(|(mark, kind)| match mark {
             Some(mark) => Duration::from_millis(mark.age_ms) >= limit,
             None if kind == ItemKind::Configuration => state.table.is_some(),
-            None => state.replicas.of(kind).freshness.proven_at().is_some(),
+            None => state.replicas.of(kind).freshness.confirmed_at().is_some(),
         });
         if is_stale {
             state.sync.avoid(reader.clone(), now);
@@ -358,18 +371,18 @@
     }
 }
 
-/// The list of engines, if it is whole and fits a datagram.
-fn whole_list(state: &GatewayState) -> Vec<EngineEntry> {
+/// The engine list, if it is complete and fits a datagram; otherwise empty.
+fn complete_list(state: &GatewayState) -> Vec<EngineEntry> {
     let is_listed = |engine: &&Engine| !engine.is_unlisted;
     let listed = state.engines.iter().filter(is_listed);
     let entries: Vec<_> = listed.map(|engine| engine.entry.clone()).collect();
-    match state.has_engine_list && entries.len() <= MOST_LISTED {
+    match state.has_engine_list && entries.len() <= MAX_LISTED_ENGINES {
         true => entries,
         false => Vec::new(),
     }
 }
 
-fn counted_back(asked_at: Timestamp, mark: Mark) -> Timestamp {
+fn confirmed_time(asked_at: Timestamp, mark: Mark) -> Timestamp {
     asked_at.before(Duration::from_millis(mark.age_ms))
 }
 
@@ -378,7 +391,7 @@
     mark(replica.revision, replica.freshness, now)
 }
 
-fn mark(position: Option<u64>, freshness: ProofOfFreshness, now: Timestamp) -> Option<Mark> {
+fn mark(position: Option<u64>, freshness: Freshness, now: Timestamp) -> Option<Mark> {
     Some(Mark {
         position: position?,
         age_ms: freshness.age(now)?.as_millis() as u64 + 1,
--- a/crates/gateway/src/placement/cache_watch.rs
+++ b/crates/gateway/src/placement/cache_watch.rs
@@ -72,7 +72,7 @@
     engine: BackEndName,
     address: SocketAddr,
 ) {
-    let incarnation = gateway.life_of(&engine);
+    let incarnation = gateway.incarnation_of(&engine);
     let known = polls.borrow().cursors.get(&engine).copied();
     let known = known.filter(|(_, valid_in)| *valid_in == incarnation);
     let since = known.map(|(cursor, _)| cursor);
@@ -82,7 +82,7 @@
     let Some(response) = response else {
         return;
     };
-    if gateway.life_of(&engine) != incarnation {
+    if gateway.incarnation_of(&engine) != incarnation {
         // The engine has restarted during the poll, so the response may describe either
         // incarnation.
         polls.cursors.remove(&engine);
@@ -91,5 +91,5 @@
     polls
         .cursors
         .insert(engine.clone(), (response.next, incarnation));
-    gateway.take_cache_changes(&engine, &response.changes, since.is_none());
+    gateway.apply_cache_changes(&engine, &response.changes, since.is_none());
 }
--- a/crates/gateway/src/poison/record_sync.rs
+++ b/crates/gateway/src/poison/record_sync.rs
@@ -48,7 +48,7 @@
     loop {
         let listed = timeout(STORE_TIMEOUT, store.list(consistency)).await;
         match listed.unwrap_or(Err(SourceError::NoAnswer)) {
-            Ok(records) => return gateway.take_poison_records(records, consistency),
+            Ok(records) => return gateway.apply_poison_records(records, consistency),
             Err(error) => {
                 failures += 1;
                 info!(gateway.log(), "poison_records_unread"; "failures" => failures,
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -60,7 +60,7 @@
     }
 
     fn is_list_due(&mut self) -> bool {
-        if !self.gateway.misses_orders() {
+        if !self.gateway.lacks_orders() {
             self.next_list = None;
             return false;
         }
@@ -83,7 +83,7 @@
                 info!(log, "release_orders_read"; "revision" => list.revision,
                     "orders" => list.releases.len());
                 let mut orders = Orders::default();
-                orders.take_list(list);
+                orders.apply_list(list);
                 tell_heard(&self.gateway, &orders);
                 tell_ends(&self.gateway, &orders);
                 self.gateway.note_orders_known();
@@ -97,7 +97,7 @@
         let is_following = self.orders.borrow().revision().is_some();
         let mut lapsed = match is_following {
             true => Vec::new(),
-            false => self.gateway.lapsed_grants(),
+            false => self.gateway.expired_grants(),
         };
         self.next_reads
             .retain(|pool, _| lapsed.iter().any(|grant| grant.order.pool == *pool));
@@ -126,7 +126,7 @@
                 };
                 info!(log, "release_record_read"; "pool" => %pool, "target" => &found.order.target,
                     "stage" => %found.stage, "before" => %grant.stage, "revision" => found.revision);
-                self.gateway.take_recorded_grant(found);
+                self.gateway.apply_recorded_grant(found);
             }
             Err(error) => {
                 info!(log, "release_record_unread"; "pool" => %pool, "error" => %error);
--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -26,7 +26,7 @@
     ) -> Self {
         Self {
             gateway: Rc::clone(gateway),
-            timing: gateway.watch_answer(request, placement),
+            timing: gateway.start_answer_timing(request, placement),
         }
     }
 
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -72,7 +72,7 @@
     let time_to_head = gateway.clock().now().since(sent_at);
     note_head(gateway, request, placement, sent_at, time_to_head);
     let facts = gateway.dialect().read_answer(&answer.head);
-    if is_from_intended_engine(request, &answer, &facts) && gateway.is_in_life_of(placement) {
+    if is_from_intended_engine(request, &answer, &facts) && gateway.is_same_incarnation(placement) {
         gateway.note_signal(&request.caller.id, &placement.engine, &facts, sent_at);
     }
     match check_head(request, &answer, &facts) {
@@ -210,7 +210,7 @@
     sent_at: Timestamp,
     time_to_head: Duration,
 ) {
-    let is_same_incarnation = gateway.is_in_life_of(placement);
+    let is_same_incarnation = gateway.is_same_incarnation(placement);
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
     if let Some(engine) = engine.filter(|_| is_same_incarnation) {
@@ -228,7 +228,7 @@
     placement: &Placement,
     facts: &AnswerFacts,
 ) {
-    if !gateway.is_in_life_of(placement) {
+    if !gateway.is_same_incarnation(placement) {
         return;
     }
     let mut state = gateway.state_mut();
@@ -253,7 +253,7 @@
     let idle_timeout = facts.idle_timeout;
     spawn_local(async move {
         let rest = timeout(REFUSAL_DRAIN_TIMEOUT, answer.body.collect()).await;
-        if matches!(rest, Ok(Ok(_))) && gateway.is_in_life_of(&placement) {
+        if matches!(rest, Ok(Ok(_))) && gateway.is_same_incarnation(&placement) {
             gateway
                 .upstream()
                 .keep(&placement.engine, answer.connection, idle_timeout);
@@ -294,7 +294,7 @@
     let expected = model.zip(placement.weights);
     let now = gateway.clock().now();
     // A failure of an earlier incarnation says nothing about an engine that has restarted since.
-    let is_same_incarnation = gateway.is_in_life_of(placement);
+    let is_same_incarnation = gateway.is_same_incarnation(placement);
     let mut state = gateway.state_mut();
     let engine = state.engines.get_mut(&placement.engine);
     if let Some(engine) = engine.filter(|_| is_same_incarnation) {
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -91,7 +91,7 @@
 
     /// Keeps the connection for reuse, after the answer has been read to its end.
     pub(super) fn release(self, gateway: &Gateway) -> Placement {
-        if self.is_connection_reusable && gateway.is_in_life_of(&self.placement) {
+        if self.is_connection_reusable && gateway.is_same_incarnation(&self.placement) {
             let engine = &self.placement.engine;
             gateway
                 .upstream()
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -101,7 +101,7 @@
                 Ok(whole) => {
                     self.note_success(&placement);
                     if !whole.status.is_server_error() {
-                        self.gateway.note_good_run(&self.request);
+                        self.gateway.note_successful_run(&self.request);
                     }
                     return Ok(FirstAnswer::Whole(Box::new(whole)));
                 }
@@ -125,7 +125,7 @@
             // Callers send a request that crashes engines again under other ids and to other nodes, where its earlier
             // attempts count neither against its maximum nor against the retry budget. Only the crash history that all
             // nodes share keeps it from the next engine.
-            let is_known = self.gateway.knows_poison(&self.request).await;
+            let is_known = self.gateway.wait_for_poison_records(&self.request).await;
             if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
                 return Err(self.poison_refusal(NO_ENGINE_RETRY));
             }
@@ -183,7 +183,7 @@
     fn verdict(&self) -> Verdict {
         match self.is_trial && !self.may_have_run {
             true => Verdict::Trial,
-            false => self.gateway.verdict_on(&self.request),
+            false => self.gateway.poison_verdict(&self.request),
         }
     }
 
@@ -235,7 +235,7 @@
         let why = detector.detect(&self.gateway, self.progress.connection_use.get())?;
         let has_successor =
             self.has_other_engine(&detector.engine) || detector.has_later_answers(&self.gateway);
-        if has_successor && self.gateway.spend_spare_retry(&self.request.pool) {
+        if has_successor && self.gateway.spend_speculative_retry(&self.request.pool) {
             return Some(why);
         }
         if !self.progress.is_overdue.replace(true) {
@@ -349,7 +349,7 @@
 
     /// Records an attempt whose answer was received completely.
     pub(super) fn note_success(&self, placement: &Placement) {
-        let is_same_incarnation = self.gateway.is_in_life_of(placement);
+        let is_same_incarnation = self.gateway.is_same_incarnation(placement);
         let mut state = self.gateway.state_mut();
         let engine = state.engines.get_mut(&placement.engine);
         if let Some(engine) = engine.filter(|_| is_same_incarnation) {
@@ -378,7 +378,7 @@
     /// Chooses an engine for a trial. Engines that have crashed recently are excluded: a trial on them would show
     /// nothing, and the number of trials is limited.
     fn place_trial(&self) -> Option<Placement> {
-        let mut avoided = self.gateway.ended_engines(&self.request.pool);
+        let mut avoided = self.gateway.crashed_engines(&self.request.pool);
         avoided.extend(self.tried.iter().cloned());
         self.place_avoiding(&avoided)
     }
@@ -403,7 +403,7 @@
             return Refusal::new(RefusalReason::MayHaveRun, "no other engine for a retry");
         }
         let pool = &self.request.pool;
-        let detail = match self.gateway.barred_engines(pool) {
+        let detail = match self.gateway.excluded_engines(pool) {
             Some(barred) => format!("no engine of pool '{pool}' accepts work ({barred})"),
             None => format!("no engine of pool '{pool}' accepts work"),
         };
@@ -424,7 +424,7 @@
     /// The time until the first excluded engine of the pool may be sent requests again, if it is known and longer than
     /// `otherwise`; else `otherwise`.
     fn retry_after(&self, otherwise: Duration) -> Duration {
-        let opening = self.gateway.next_opening(&self.request.pool);
+        let opening = self.gateway.shortest_exclusion(&self.request.pool);
         opening.map_or(otherwise, |opening| opening.max(otherwise))
     }
 
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -320,8 +320,8 @@
             let seconds = self.active.elapsed_ms() as f64 / 1e3;
             gateway.metrics().first_answer_seconds.observe(seconds);
             let pool = &self.forwarder.request.pool;
-            gateway.note_begin(pool, Duration::from_millis(elapsed_ms));
-            gateway.note_prompt_read(&live.placement);
+            gateway.note_request_start(pool, Duration::from_millis(elapsed_ms));
+            gateway.note_prefill_done(&live.placement);
             count_tokens(&self.forwarder, &live.placement);
         }
     }
@@ -335,7 +335,7 @@
         let gateway = Rc::clone(&self.forwarder.gateway);
         let placement = live.release(&gateway);
         self.forwarder.note_success(&placement);
-        gateway.note_good_run(&self.forwarder.request);
+        gateway.note_successful_run(&self.forwarder.request);
         self.active.end("answered");
         if self.resume_count == 0 {
             let pause = Duration::from_millis(self.longest_pause_ms);
--- a/crates/gateway/tests/release_orders.rs
+++ b/crates/gateway/tests/release_orders.rs
@@ -20,7 +20,8 @@
 /// A node that hears another one with the lease of orders, so that it follows nothing.
 async fn hear_holder(node: &ReleaseNode, holder: &ReleaseNode, time: Duration) {
     for _ in 0..time.as_millis() / 250 {
-        node.gateway.hear_peer(holder.gateway.peer_message(true));
+        node.gateway
+            .receive_peer_message(holder.gateway.peer_message(true));
         sleep(Duration::from_millis(250)).await;
     }
 }
@@ -106,9 +107,9 @@
         let node = ReleaseNode::start("node-1", &orders);
         sleep(SETTLED).await;
         orders.take_calls();
-        node.gateway.state_mut().is_source_reached = false;
+        node.gateway.state_mut().is_source_reachable = false;
         sleep(Duration::from_millis(600)).await;
-        node.gateway.state_mut().is_source_reached = true;
+        node.gateway.state_mut().is_source_reachable = true;
         sleep(Duration::from_secs(5)).await;
         assert_eq!(orders.take_calls().all(), 0);
     });
@@ -213,7 +214,7 @@
         holder.hold(1);
         holder.gateway.note_orders_known();
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.take_recorded_grant(granted(&order, 2));
+        node.gateway.apply_recorded_grant(granted(&order, 2));
         hear_holder(&node, &holder, Duration::from_secs(2)).await;
         assert_eq!(orders.take_calls().all(), 0);
         hear_holder(&node, &holder, Duration::from_secs(20)).await;
@@ -239,7 +240,7 @@
         let holder = ReleaseNode::start_with("node-0", &orders, None);
         holder.hold(1);
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.take_recorded_grant(granted(&order, 1));
+        node.gateway.apply_recorded_grant(granted(&order, 1));
         hear_holder(&node, &holder, Duration::from_secs(5)).await;
         assert_eq!(node.stage("a"), Some(Stage::Withdrawn));
     });
@@ -254,7 +255,7 @@
         let holder = ReleaseNode::start_with("node-0", &orders, None);
         holder.hold(1);
         let node = ReleaseNode::start("node-1", &orders);
-        node.gateway.take_recorded_grant(granted(&order, 1));
+        node.gateway.apply_recorded_grant(granted(&order, 1));
         hear_holder(&node, &holder, Duration::from_secs(5)).await;
         let (grant, _) = node.grant("a").expect("grant");
         assert_eq!((grant.order, grant.stage), (newer.clone(), Stage::Trial));
@@ -280,11 +281,11 @@
 #[test]
 fn order_that_is_gone_does_not_come_back_with_a_late_answer() {
     let mut orders = Orders::default();
-    orders.take_list(ReleaseList {
+    orders.apply_list(ReleaseList {
         releases: vec![release("v2", 5)],
         revision: 6,
     });
-    orders.take_batch(ReleaseBatch {
+    orders.apply_batch(ReleaseBatch {
         changes: vec![ReleaseChange::Gone("a".into())],
         revision: 9,
     });
@@ -298,12 +299,12 @@
 #[test]
 fn older_news_of_an_order_change_nothing() {
     let mut orders = Orders::default();
-    orders.take_list(ReleaseList {
+    orders.apply_list(ReleaseList {
         releases: vec![release("v2", 5)],
         revision: 6,
     });
     orders.take_recorded(release("v3", 9));
-    orders.take_batch(ReleaseBatch {
+    orders.apply_batch(ReleaseBatch {
         changes: vec![
             ReleaseChange::Ordered(release("v2", 7)),
             ReleaseChange::Gone("a".into()),
@@ -321,7 +322,7 @@
         orders.order("a", "v2", RAMP);
         let node = ReleaseNode::start("node-1", &orders);
         // Another node is the candidate for the lease, and tells this one nothing.
-        node.gateway.state_mut().is_source_reached = false;
+        node.gateway.state_mut().is_source_reachable = false;
         sleep(Duration::from_millis(1_500)).await;
         let (grant, _) = node.grant("a").expect("grant");
         assert_eq!((grant.stage, grant.share), (Stage::Trial, 0.0));
@@ -336,7 +337,7 @@
         let orders = Rc::new(ReleaseOrders::default());
         let node = ReleaseNode::start("node-1", &orders);
         list_engines(&node.gateway, engines(&["v1"]));
-        node.gateway.state_mut().is_source_reached = false;
+        node.gateway.state_mut().is_source_reachable = false;
         sleep(Duration::from_secs(10)).await;
         assert_eq!(orders.take_calls().all(), 0);
     });
--- a/crates/gateway/tests/silent_review.rs
+++ b/crates/gateway/tests/silent_review.rs
@@ -166,13 +166,17 @@
             changes,
             revision: 101,
         };
-        nodes[0].take_batch(ItemKind::Weights, batch, Some(now));
+        nodes[0].apply_batch(ItemKind::Weights, batch, Some(now));
         let proven_at = |index: usize| {
             let state = nodes[index].state();
-            state.replicas.of(ItemKind::Weights).freshness.proven_at()
+            state
+                .replicas
+                .of(ItemKind::Weights)
+                .freshness
+                .confirmed_at()
         };
         let before = proven_at(1);
-        nodes[1].hear_peer(nodes[0].peer_message(true));
+        nodes[1].receive_peer_message(nodes[0].peer_message(true));
         assert!(nodes[1].state().replicas.of(ItemKind::Weights).is_behind());
         assert_eq!(proven_at(1), before);
     });
@@ -189,9 +193,9 @@
             revision: 101,
         };
         let now = reader.clock().now();
-        reader.take_batch(ItemKind::Weights, batch, Some(now));
+        reader.apply_batch(ItemKind::Weights, batch, Some(now));
         let (_, question) = relying.next_question().expect("relies on the reader");
-        relying.take_answer(reader.answer_question(&question));
+        relying.apply_answer(reader.answer_question(&question));
         let revision = relying.state().replicas.of(ItemKind::Weights).revision;
         assert_eq!(revision, Some(101));
         // The others leave, until two are left.
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use ryerouter_core::identity::{RegionName, ZoneName};
-use ryerouter_gateway::gateway::{Gateway, Parcel};
+use ryerouter_gateway::gateway::{Envelope, Gateway};
 use ryerouter_gateway::source::{Item, ItemKind};
 use ryerouter_gateway::topology::Topology;
 
@@ -34,10 +34,10 @@
     let gateway = gateway_with(own);
     let now = gateway.clock().now();
     configure(&gateway, table(1, Vec::new()));
-    gateway.take_list(ItemKind::Weights, Vec::new(), FIRST_REVISION, now);
+    gateway.apply_list(ItemKind::Weights, Vec::new(), FIRST_REVISION, now);
     let entry = engine("e1", "127.0.0.1:1".parse().unwrap(), 1);
     let list = vec![Item::Engine(entry)];
-    gateway.take_list(ItemKind::Engines, list, FIRST_REVISION, now);
+    gateway.apply_list(ItemKind::Engines, list, FIRST_REVISION, now);
     gateway
 }
 
@@ -45,7 +45,7 @@
 pub fn introduce(nodes: &[Rc<Gateway>]) {
     for from in nodes {
         for to in nodes {
-            to.hear_peer(from.peer_message(true));
+            to.receive_peer_message(from.peer_message(true));
         }
     }
 }
@@ -92,15 +92,15 @@
 }
 
 /// Delivers zone news, and what is passed on; tells how many messages each node has sent on.
-pub fn deliver(nodes: &[Rc<Gateway>], parcels: Vec<Parcel>) -> Vec<usize> {
-    let mut waiting = parcels;
+pub fn deliver(nodes: &[Rc<Gateway>], envelopes: Vec<Envelope>) -> Vec<usize> {
+    let mut waiting = envelopes;
     let mut sent = vec![0; nodes.len()];
     while let Some((news, receivers)) = waiting.pop() {
         for receiver in receivers {
             let is_receiver =
                 |node: &Rc<Gateway>| node.settings().identity.peer_address == receiver;
             let index = nodes.iter().position(is_receiver).expect("receiver");
-            let passed_on = nodes[index].hear_zone(&news);
+            let passed_on = nodes[index].receive_zone_update(&news);
             sent[index] += passed_on.iter().map(|parcel| parcel.1.len()).sum::<usize>();
             waiting.extend(passed_on);
         }
--- a/crates/gateway/tests/support/gateway_bench.rs
+++ b/crates/gateway/tests/support/gateway_bench.rs
@@ -67,13 +67,13 @@
         },
         topology: Topology::default(),
         seeds: Vec::new(),
-        most_unproven: Some(Duration::from_secs(3600)),
+        max_unconfirmed_age: Some(Duration::from_secs(3600)),
         weights_grace: Duration::from_secs(7),
-        weights_news_time: Duration::from_secs(1),
+        weights_propagation_time: Duration::from_secs(1),
         assumed_weights_age: Duration::from_secs(5),
         unlisted_grace: Duration::from_secs(3),
-        entry_lapse: Duration::from_millis(2_400),
-        catalogue_bound: Duration::from_secs(3),
+        entry_ttl: Duration::from_millis(2_400),
+        propagation_limit: Duration::from_secs(3),
         limit_tolerance: Tolerance::default(),
         retry: RetrySettings {
             floor: 100.0,
@@ -82,7 +82,7 @@
         connect: ConnectSettings::default(),
         prices: PlacementPrices::default(),
         rollout: RolloutSettings::default(),
-        caches_followed_after: Some(Duration::ZERO),
+        cache_follow_delay: Some(Duration::ZERO),
         remembered_prefixes: 1_000,
         releases: None,
     }
@@ -103,7 +103,7 @@
 pub fn configure(gateway: &Gateway, table: RoutingTable) {
     let change = ItemChange::Present(Item::Configuration(Rc::new(table)));
     let now = gateway.clock().now();
-    gateway.change_items(ItemKind::Configuration, vec![change], now);
+    gateway.apply_changes(ItemKind::Configuration, vec![change], now);
 }
 
 /// Gives a gateway the whole list of engines.
