--- a/crates/core/src/poison/history.rs
+++ b/crates/core/src/poison/history.rs
@@ -33,7 +33,7 @@
 const BLOCKED_RETENTION: Duration = Duration::from_secs(2 * 86_400);
 /// How long a request that is not blocked is kept after its last event.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(3_600);
-/// Two requests that ran at this many common crashes cannot be told apart by them.
+/// Two requests that were running at this many of the same crashes cannot be told apart by them.
 const MIN_SHARED_CRASHES: usize = 2;
 /// Maximum number of crashes kept. Bounds the crashes recorded after the last trial, which only isolated nodes add, and
 /// the unproven ones.
@@ -197,7 +197,7 @@
         success.is_some_and(|(at, first)| first.ended.since(at) < SUCCESS_RETENTION)
     }
 
-    /// Whether another request ran at several of the same crashes.
+    /// Whether another request was running at several of the same crashes.
     pub fn shares_crashes(&self, other: &Self) -> bool {
         let shared = self.crashes.iter().filter(|crash| other.holds(crash));
         shared.count() >= MIN_SHARED_CRASHES
