--- a/crates/core/src/backpressure/condition.rs
+++ b/crates/core/src/backpressure/condition.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Exclusion, ExclusionReason, Limit, Report, SenderPosition, Signal};
+use super::{Exclusion, ExclusionReason, Limit, Position, Report, Signal};
 use crate::Timestamp;
 
 /// Maximum time for which a backoff is obeyed. A longer one is most likely an error of the engine.
@@ -134,7 +134,7 @@
     }
 
     /// Updates this node's position among the senders to the engine, and drops an expired limit.
-    pub fn refresh(&mut self, position: &SenderPosition, now: Timestamp) {
+    pub fn refresh(&mut self, position: &Position, now: Timestamp) {
         let limit = self.limit.as_mut();
         if let Some(limit) = limit.filter(|limit| !limit.is_expired(position.nodes, now)) {
             limit.set_position(position, now);
--- a/crates/core/src/backpressure/limit.rs
+++ b/crates/core/src/backpressure/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{SenderPosition, sender_share};
+use super::{Position, sender_share};
 use crate::Timestamp;
 use crate::limit::TokenBucket;
 
@@ -103,7 +103,7 @@
     }
 
     /// Updates this node's share from its position among the senders.
-    pub(super) fn set_position(&mut self, position: &SenderPosition, now: Timestamp) {
+    pub(super) fn set_position(&mut self, position: &Position, now: Timestamp) {
         let recovering = self.omitted_for.saturating_sub(self.grace_period);
         let steps = recovering.as_secs_f64() / RECOVERY_STEP.as_secs_f64();
         let recovered_rate = self.per_second * steps.exp2();
--- a/crates/core/src/backpressure/mod.rs
+++ b/crates/core/src/backpressure/mod.rs
@@ -16,5 +16,5 @@
 pub use exclusion::{Exclusion, ExclusionReason};
 pub use limit::Limit;
 pub use report::Report;
-pub use share::{SenderPosition, sender_share};
+pub use share::{Position, sender_share};
 pub use signal::Signal;
--- a/crates/core/src/backpressure/share.rs
+++ b/crates/core/src/backpressure/share.rs
@@ -15,7 +15,7 @@
 /// Position of a node among those that may send to an engine: the nodes of the engine's zone, which mostly serve the
 /// callers of that zone, or all nodes when the zone has none. The order is that of rendezvous hashing.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SenderPosition {
+pub struct Position {
     /// Maximum number of nodes that may exist, this one included.
     pub nodes: usize,
     /// Number of nodes that may send.
@@ -34,7 +34,7 @@
 /// and nodes that are isolated or have just received the limit cannot ask the others. So only some of the nodes share
 /// the limit: as many as can each accumulate a whole request without all of them together exceeding it. The others send
 /// nothing.
-pub fn sender_share(per_second: f64, position: &SenderPosition) -> f64 {
+pub fn sender_share(per_second: f64, position: &Position) -> f64 {
     let by_rate = per_second.min(position.senders as f64) as usize + EXTRA_SENDERS;
     let senders = by_rate.min(position.senders).max(1);
     let fair = per_second / senders as f64;
--- a/crates/core/src/limit/limit_allocator.rs
+++ b/crates/core/src/limit/limit_allocator.rs
@@ -153,7 +153,7 @@
         let group =
             allocator_group(&self.catalog.claim_roster, &request.tenant).map(|(index, _)| index);
         if let Some(index) = group {
-            self.confirm_authority(index, now, envelopes);
+            self.start_confirmation_round(index, now, envelopes);
         }
         if self.is_authorized(&request.tenant, now) || request.wanted.is_zero() {
             self.answer(from, &request, now, envelopes);
@@ -231,7 +231,7 @@
         }
     }
 
-    fn confirm_authority(
+    fn start_confirmation_round(
         &mut self,
         index: usize,
         now: Timestamp,
--- a/crates/core/tests/backpressure.rs
+++ b/crates/core/tests/backpressure.rs
@@ -7,7 +7,7 @@
 use backpressure_world::{Knowledge, World};
 use ryerouter_core::Timestamp;
 use ryerouter_core::backpressure::{
-    Condition, ExclusionReason, Report, SenderPosition, Signal, sender_share,
+    Condition, ExclusionReason, Position, Report, Signal, sender_share,
 };
 use yare::parameterized;
 
@@ -27,7 +27,7 @@
 }
 
 /// The only node.
-const ALONE: SenderPosition = SenderPosition {
+const ALONE: Position = Position {
     nodes: 1,
     senders: 1,
     known: 1,
@@ -174,7 +174,7 @@
         if let Some(report) = told.report() {
             seen.merge(&late(report));
         }
-        let place = SenderPosition {
+        let place = Position {
             nodes: 2,
             senders: 2,
             known: 2,
@@ -212,7 +212,7 @@
     more_than_nodes = { 3, 1_000.0 },
 )]
 fn shares_add_up_to_the_limit(nodes: usize, per_second: f64) {
-    let place = |rank| SenderPosition {
+    let place = |rank| Position {
         nodes,
         senders: nodes,
         known: nodes,
--- a/crates/core/tests/backpressure_world/mod.rs
+++ b/crates/core/tests/backpressure_world/mod.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ryerouter_core::Timestamp;
-use ryerouter_core::backpressure::{Condition, SenderPosition, Signal};
+use ryerouter_core::backpressure::{Condition, Position, Signal};
 
 const STEP: Duration = Duration::from_millis(10);
 /// From a request to its answer.
@@ -30,7 +30,7 @@
 
 struct Node {
     condition: Condition,
-    place: SenderPosition,
+    place: Position,
     told_at: Option<Timestamp>,
     /// Requests without an answer yet.
     sent: Vec<Timestamp>,
@@ -178,12 +178,7 @@
     }
 }
 
-fn place_of(
-    own: usize,
-    scores: &[f64],
-    knowledge: Knowledge,
-    random: &mut ChaCha8Rng,
-) -> SenderPosition {
+fn place_of(own: usize, scores: &[f64], knowledge: Knowledge, random: &mut ChaCha8Rng) -> Position {
     let mut known = 1;
     let mut rank = 0;
     for (index, score) in scores.iter().enumerate() {
@@ -196,7 +191,7 @@
             rank += usize::from(*score > scores[own]);
         }
     }
-    SenderPosition {
+    Position {
         nodes: scores.len(),
         senders: scores.len(),
         known,
--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ryerouter_core::Timestamp;
-use ryerouter_core::backpressure::{Change, Exclusion, ExclusionReason, SenderPosition};
+use ryerouter_core::backpressure::{Change, Exclusion, ExclusionReason, Position};
 use ryerouter_core::identity::{BackEndName, NodeName, PoolName};
 use ryerouter_core::placement::rendezvous_score;
 use slog::{info, warn};
@@ -233,7 +233,7 @@
         state: &GatewayState,
         engine: &BackEndName,
         now: Timestamp,
-    ) -> SenderPosition {
+    ) -> Position {
         let own = &self.settings().identity;
         let zone = state.engines.get(engine).map(|engine| &engine.entry.zone);
         let recent = state.peers.lately_heard(now);
@@ -255,7 +255,7 @@
         }
         let heard_share = (all.len() + 1) as f64 / nodes as f64;
         let senders = (known as f64 / heard_share).round() as usize;
-        SenderPosition {
+        Position {
             nodes,
             senders,
             known,
