--- a/crates/core/src/poison/crash.rs
+++ b/crates/core/src/poison/crash.rs
@@ -5,15 +5,15 @@
 use crate::Timestamp;
 use crate::identity::{BackEndName, Incarnation};
 
-/// Clock error of crash times received from other nodes: they are late by the transit time of the message. A caller
-/// cannot retry faster than this.
+/// Maximum delay of crash times received from other nodes, which include the transit time of the message. A caller
+/// cannot retry faster than this, so the crashes of a run and of its retry are at least this far apart.
 const REPORT_DELAY: Duration = Duration::from_millis(30);
 
-/// Engines lost to a common cause crash within this time. Engines that ran copies of a request side by side, and each
-/// crashed on its own copy, do so further apart.
+/// Engines that fail from a common cause crash within this time of each other. If engines run copies of a request
+/// side by side and each crashes on its own copy, the crashes are further apart.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(300);
 
-/// A connection that broke after a shorter run may have been made to an engine that had crashed before.
+/// If the connection breaks sooner after the request was sent, the engine may have crashed before the request.
 const MIN_RUN_TIME: Duration = Duration::from_millis(5);
 
 /// Crash of an engine while it ran a request.
@@ -33,10 +33,10 @@
 }
 
 impl Crash {
-    /// Whether this crash has another cause than `previous`: its run began after the previous crash, or it came a while
-    /// later.
+    /// Whether this crash has another cause than `previous`: its run began after the previous crash, or it came more
+    /// than `COMMON_CAUSE_WINDOW` later.
     ///
-    /// When a whole pool fails at once, all copies of a popular request fail with it. These count as one crash.
+    /// When a whole pool fails at once, all copies of a popular request fail with it. Their crashes count as one.
     pub(super) fn is_separate_from(&self, previous: &Self) -> bool {
         let began_after = self.began.after(REPORT_DELAY) >= previous.ended;
         let min_gap = match began_after {
--- a/crates/core/src/poison/history.rs
+++ b/crates/core/src/poison/history.rs
@@ -17,8 +17,8 @@
 /// not know of the block yet.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Delays before trials of a blocked request whose crashes may have another cause, indexed by the number of trials, as
-/// long as no trial has crashed an engine. An early trial unblocks a request that only ran beside another. A trial can
-/// be inconclusive, for example when the caller disconnects, so there is a second one.
+/// long as no trial has crashed an engine. An early trial unblocks a request that only ran beside the one that crashed
+/// the engines. A trial can be inconclusive, for example when the caller disconnects, so there is a second one.
 const FIRST_TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(5), Duration::from_secs(10)];
 /// Delays before all other trials, indexed by the number of engines that trials have crashed. These trials find out
 /// whether engines with other weights or other software can run the request. Each may cost an engine, so there are no
@@ -28,15 +28,15 @@
     Duration::from_secs(600),
     Duration::from_secs(86_400),
 ];
-/// How long a blocked request is kept after its last crash or trial. All nodes drop it at about the same time. One day
-/// after the last trial the engines have most likely been replaced.
+/// How long the history of a blocked request is kept after its last crash or trial. All nodes drop it at about the same
+/// time. This is one day more than the longest trial delay; by then the engines have most likely been replaced.
 const BLOCKED_RETENTION: Duration = Duration::from_secs(2 * 86_400);
-/// How long a request that is not blocked is kept after its last event.
+/// How long the history of a request that is not blocked is kept after its last crash, trial or success.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(3_600);
-/// Two requests that were running at this many of the same crashes cannot be told apart by them.
+/// When two requests were both running at this many or more of the same crashes, either may have caused them.
 const MIN_SHARED_CRASHES: usize = 2;
-/// Maximum number of crashes kept. Bounds the crashes recorded after the last trial, which only isolated nodes add, and
-/// the unproven ones.
+/// Maximum number of crashes kept per request. It bounds unproven crashes and those after the last trial, which only
+/// isolated nodes add.
 const MAX_CRASHES: usize = CRASHES_TO_BLOCK_AFTER_SUCCESS + 2 * TRIAL_DELAYS.len();
 
 /// Crashes and trials of one request.
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
     /// Crashes in order of time, each separate from the one before. After the crash that blocked the request, only
-    /// crashes of much later runs are kept.
+    /// crashes of runs that began more than `PROPAGATION_TIME` later are kept.
     pub crashes: Vec<Crash>,
     /// When a run last succeeded. Earlier crashes are not evidence against the request.
     pub last_success_at: Option<Timestamp>,
@@ -118,7 +118,8 @@
             && other.is_blocked()
             && self.last_success_at < other.crashes.last().map(|crash| crash.ended)
         {
-            // The reporting node knows the relative times of its crashes best.
+            // Replaces the crashes instead of merging them: the node that blocked the request knows the relative
+            // times of its crashes best.
             self.crashes.clone_from(&other.crashes);
             let last_success_at = self.last_success_at;
             self.crashes
@@ -245,8 +246,9 @@
         }
     }
 
-    /// Restores the order of the crashes. Keeps those separate from the one before and, once the request is blocked,
-    /// those of runs that began long after.
+    /// Sorts the crashes by time and drops those that are not separate from the one before. After the crash that
+    /// blocked the request, keeps those of runs that began more than `PROPAGATION_TIME` later. `MAX_CRASHES` bounds all
+    /// but the proven crashes that lead to the block.
     fn normalize(&mut self) {
         let mut crashes = std::mem::take(&mut self.crashes);
         crashes.sort_by_key(|crash| crash.ended);
--- a/crates/core/src/poison/register.rs
+++ b/crates/core/src/poison/register.rs
@@ -10,8 +10,8 @@
 /// cannot create many of them.
 const MAX_HISTORIES: usize = 1_024;
 
-/// Minimum time between trials of two requests that ran at the same crashes. Only one of them is then running when an
-/// engine crashes, and all nodes know of the crash before the next trial.
+/// Minimum time between trials of two requests that were running at the same crashes. Only one of them is then running
+/// when an engine crashes, and all nodes know of the crash before the next trial.
 const TRIAL_SEPARATION: Duration = Duration::from_secs(2);
 
 /// Histories of the requests during which engines crashed, as known to this node.
