--- a/crates/core/src/backpressure/condition.rs
+++ b/crates/core/src/backpressure/condition.rs
@@ -7,7 +7,7 @@
 
 /// Maximum time for which a backoff is obeyed. A longer one is most likely an error of the engine.
 const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
-/// Relative change of a limit from which it is reported to other nodes again.
+/// A limit is reported to other nodes again when it has changed by more than this share.
 const REPORT_THRESHOLD: f64 = 0.2;
 
 /// What a response changed.
--- a/crates/core/src/backpressure/limit.rs
+++ b/crates/core/src/backpressure/limit.rs
@@ -6,7 +6,7 @@
 use crate::Timestamp;
 use crate::limit::TokenBucket;
 
-/// Burst that a node may accumulate from its share, where this is more than one request. Requests do not arrive evenly.
+/// A node may accumulate its share over this time, and at least one request, because requests do not arrive evenly.
 const BURST: Duration = Duration::from_secs(1);
 /// A limit stays in force for this long after responses began to omit it, because such responses may date from before
 /// the limit.
@@ -37,7 +37,7 @@
     advertised_at: Timestamp,
     /// Since when the responses to this node omit the limit.
     omitted_since: Option<Timestamp>,
-    /// For how long they had omitted it at the last such response.
+    /// For how long the responses had omitted the limit when the last of them arrived.
     omitted_for: Duration,
     /// For how long responses may omit the limit before it begins to recover.
     grace_period: Duration,
--- a/crates/core/src/backpressure/share.rs
+++ b/crates/core/src/backpressure/share.rs
@@ -1,13 +1,13 @@
 //! How an engine's rate limit is divided between nodes.
 
-/// Number of nodes that share a limit in addition to one per request per second. Each share is then more than one
-/// request in a few seconds, and the bursts that all nodes together can accumulate stay below half the limit, by which
-/// it may be exceeded briefly.
+/// A limit of `n` requests per second is divided between `n` plus this many nodes. Each share is then more than one
+/// request in a few seconds. The bursts that all nodes together can accumulate stay below half the limit, which is
+/// how much it may be exceeded briefly.
 const EXTRA_SENDERS: usize = 3;
 /// Minimum share of the senders that a node must know of to rely on its rank.
 const MIN_KNOWN_SHARE: f64 = 0.8;
-/// Factor by which the number of senders may exceed the planned one when nodes do not know their rank and are selected
-/// by score.
+/// Factor by which the number of senders may exceed the planned number when nodes do not know their rank and are
+/// selected by score.
 const MAX_SENDER_EXCESS: f64 = 2.0;
 /// Rate at which one node probes an engine that accepts almost nothing, in requests per second.
 const PROBE_RATE: f64 = 0.1;
@@ -36,14 +36,14 @@
 /// nothing.
 pub fn sender_share(per_second: f64, position: &Position) -> f64 {
     let by_rate = per_second.min(position.senders as f64) as usize + EXTRA_SENDERS;
-    let senders = by_rate.min(position.senders).max(1);
-    let fair = per_second / senders as f64;
+    let active = by_rate.min(position.senders).max(1);
+    let fair = per_second / active as f64;
     if position.rank >= position.senders {
         return 0.0;
     }
     let knows_position = position.known as f64 >= position.senders as f64 * MIN_KNOWN_SHARE;
     if !knows_position {
-        let is_selected = position.score * (position.senders as f64) < senders as f64;
+        let is_selected = position.score * (position.senders as f64) < active as f64;
         return if is_selected {
             fair / MAX_SENDER_EXCESS
         } else {
@@ -52,7 +52,7 @@
     }
     match position.rank {
         0 => fair.max(PROBE_RATE),
-        rank if rank < senders => fair,
+        rank if rank < active => fair,
         _ => 0.0,
     }
 }
