--- a/crates/core/src/limit/allocator_account.rs
+++ b/crates/core/src/limit/allocator_account.rs
@@ -118,8 +118,8 @@
         let Some(limit) = self.streams else {
             return wanted;
         };
-        // After a restart the allocator first waits until each client has reported its running
-        // streams.
+        // After a restart the allocator first waits until each client has reported the streams that
+        // it holds.
         if now < self.opened_at.after(settings.renew_interval * 2) {
             return 0;
         }
--- a/crates/core/src/limit/allocator_authority.rs
+++ b/crates/core/src/limit/allocator_authority.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct AllocatorAuthority {
     group: KeeperGroup,
-    /// Allocators of the previous epoch, whose shares still bound those of this allocator until the
-    /// given time, or indefinitely while the change of the group is not completed. With an empty
-    /// list nothing is granted.
+    /// Allocators of the previous epoch. Until the given time this allocator grants no more than its
+    /// share as one of them; the time is `None` while the change of the group is not completed. If
+    /// the list is empty, as after a start, nothing is granted until then.
     bounded_by: Option<(Vec<NodeName>, Option<Timestamp>)>,
     round: u64,
     round_started_at: Timestamp,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Since when this allocator's shares are bounded only by its own group; `now` while they are
-    /// bounded further.
+    /// Time since which only the current group bounds this allocator's shares; `now` while the
+    /// previous one does as well.
     pub fn unbounded_since(&self, now: Timestamp) -> Timestamp {
         match &self.bounded_by {
             Some((_, Some(until))) => now.min(*until),
--- a/crates/core/src/limit/client_account.rs
+++ b/crates/core/src/limit/client_account.rs
@@ -33,9 +33,11 @@
     pub pending: Option<PendingRequest>,
     pub renew_at: Timestamp,
     pub denied_until: Timestamp,
-    /// Demand of the current window and of the one before, including refused requests.
+    /// Demand of the current window, including refused requests.
     demand: LimitCost,
+    /// Permits spent in the current window.
     spent: LimitCost,
+    /// Demand of the previous window, including refused requests.
     demand_before: LimitCost,
     demand_since: Timestamp,
     pub used_at: Timestamp,
@@ -82,7 +84,8 @@
         true
     }
 
-    /// What to request so that a request of `cost` can run, and as much traffic as recently.
+    /// Permits to request: enough for a request of `cost` and for as much traffic as in the previous
+    /// window.
     pub fn wanted(&self, limits: &TenantLimits, cost: &LimitCost) -> LimitCost {
         let have = LimitCost {
             requests: self.requests,
@@ -162,6 +165,7 @@
         }
     }
 
+    /// Number of streams held from all allocators.
     pub fn held(&self) -> u64 {
         self.streams_held.values().sum()
     }
--- a/crates/core/src/limit/limit_allocator.rs
+++ b/crates/core/src/limit/limit_allocator.rs
@@ -231,6 +231,7 @@
         }
     }
 
+    /// Asks the other allocators of a group to confirm its epoch when a round is due.
     fn start_confirmation_round(
         &mut self,
         index: usize,
--- a/crates/core/src/limit/limit_client.rs
+++ b/crates/core/src/limit/limit_client.rs
@@ -18,8 +18,8 @@
 
 /// How long the account of a tenant without traffic is kept.
 const IDLE_ACCOUNT_RETENTION: Duration = Duration::from_secs(60);
-/// How long after the last request allocators receive reports that no stream runs. They are
-/// repeated because one may be lost.
+/// How long after a tenant's last request allocators still receive reports that this process holds
+/// no streams. The reports are repeated because one may be lost.
 const IDLE_REPORT_TIME: Duration = Duration::from_secs(10);
 
 /// Spends, in one router process, only permits that allocators have granted to it.
@@ -165,7 +165,7 @@
         );
     }
 
-    /// Handles time-outs: gives up on allocators that do not answer, and reports running streams.
+    /// Handles time-outs: gives up on allocators that do not answer, and reports the streams held.
     pub fn tick(&mut self, now: Timestamp, envelopes: &mut Vec<LimitEnvelope>) {
         let tenants: Vec<TenantName> = self.accounts.keys().cloned().collect();
         for tenant in &tenants {
@@ -239,6 +239,8 @@
         });
     }
 
+    /// Requests what is still wanted from the next of `allocators`; when none is left, the tenant's
+    /// requests are denied for [`LimitSettings::retry_after`].
     fn request_next(
         &mut self,
         tenant: &TenantName,
--- a/crates/core/src/limit/limit_settings.rs
+++ b/crates/core/src/limit/limit_settings.rs
@@ -13,7 +13,7 @@
     pub request_timeout: Duration,
     /// How long an allocator may grant permits after a majority of its group last confirmed it.
     pub authority_validity: Duration,
-    /// Interval of the reports of running streams to an allocator.
+    /// Interval at which a client reports to an allocator the streams that it holds.
     pub renew_interval: Duration,
     /// How long an allocator counts the streams of a silent process; longer than streams last.
     pub stream_retention: Duration,
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -1,11 +1,11 @@
 //! Tenant limits, enforced over all router processes together.
 //!
-//! A limit is divided between a few allocators, which are the keepers of the tenant's group. A
-//! [`LimitAllocator`] grants permits from its share, and a [`LimitClient`] in each router process
-//! spends only permits that it has, so the limit holds under any network partition. A process
-//! exchanges no messages about a tenant without traffic. The design follows the quota transfer of
-//! kuilt's BoundedCounter; `docs/design/tenant-limits.md` compares it with a static split and a
-//! central count.
+//! A limit is divided between a few allocators, which are the keepers of the tenant's
+//! [`KeeperGroup`](crate::claim::KeeperGroup). A [`LimitAllocator`] grants permits from its share,
+//! and a [`LimitClient`] in each router process spends only permits that it has, so the limit holds
+//! under any network partition. A process exchanges no messages about a tenant without traffic. The
+//! design follows the quota transfer of kuilt's BoundedCounter; `docs/design/tenant-limits.md`
+//! compares it with a static split and a central count.
 
 mod allocator_account;
 mod allocator_authority;
