--- a/crates/core/src/admission/engine_window.rs
+++ b/crates/core/src/admission/engine_window.rs
@@ -60,7 +60,8 @@
         f64::from(in_flight) + 1.0 <= limit
     }
 
-    /// Records the number of requests that wait in the engine according to a response.
+    /// Records the number of requests that wait in the engine according to a response. The window
+    /// decreases when there are more than `tolerated`.
     pub fn observe(&mut self, waiting: u32, tolerated: u32, in_flight: u32, now: Timestamp) {
         if waiting > tolerated {
             self.decrease(DECREASE_FACTOR, now);
--- a/crates/core/src/admission/fair_queue.rs
+++ b/crates/core/src/admission/fair_queue.rs
@@ -16,11 +16,11 @@
 /// A queue that is fair among tenants by weight (start-time fair queueing).
 ///
 /// Tenants take turns by a virtual clock; each request advances its tenant's start time by cost ÷
-/// weight. A tenant that was idle starts at the current virtual time, so it neither accumulates
-/// turns nor owes any.
+/// weight. A tenant that was idle starts at the current virtual time, so it neither gains nor
+/// loses turns for the time in which it was idle.
 #[derive(Debug, Clone, Default)]
 pub struct FairQueue {
-    /// Tenants with waiting requests, and those whose next turn lies ahead of the virtual clock.
+    /// Tenants with waiting requests, and those whose next start lies ahead of the virtual clock.
     tenants: BTreeMap<TenantName, TenantQueue>,
     virtual_now: f64,
     len: usize,
@@ -103,7 +103,8 @@
             .map(|(name, _)| name)
     }
 
-    /// Removes tenants that have no waiting requests and owe no turns.
+    /// Removes tenants that have no waiting requests and whose next start does not lie ahead of the
+    /// virtual clock.
     fn remove_idle_tenants(&mut self) {
         let virtual_now = self.virtual_now;
         self.tenants
--- a/crates/core/src/admission/request_queue.rs
+++ b/crates/core/src/admission/request_queue.rs
@@ -61,8 +61,9 @@
 
     /// Adds a new request. Returns a request that no longer fits and must be refused at once.
     ///
-    /// A full queue gives up batch requests for interactive ones, and otherwise the newest request
-    /// of the tenant with the most waiting requests, so that one tenant cannot keep others out.
+    /// A full queue evicts a batch request if there is one, otherwise an interactive request. It
+    /// evicts the newest request of the tenant with the most waiting requests, so that one tenant
+    /// cannot keep others out.
     pub fn push(&mut self, request: QueuedRequest) -> Option<QueuedRequest> {
         let priority = request.priority;
         self.queue_mut(priority).push(request);
--- a/crates/core/src/placement/cache_hit_estimate.rs
+++ b/crates/core/src/placement/cache_hit_estimate.rs
@@ -2,16 +2,16 @@
 
 use crate::dispatch::Priority;
 
-/// Length classes: each holds prefixes up to twice as long as the class before.
+/// Number of length classes. Each holds prefixes up to twice as long as the class before.
 const LENGTH_CLASSES: usize = 20;
 /// Weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Learns which share of a shared prefix is cached in the first engine in order although this
-/// process has not sent it there, because other processes have.
+/// Estimates how much of a prefix that this process has not sent is cached in the first engine of
+/// the candidate order because other processes have sent it there.
 ///
-/// Prefixes shared by many callers are found there almost always, so the order is worth keeping.
-/// Prefixes of a single caller are never found there, so the least loaded engine may serve them.
+/// A prefix used by many callers is almost always cached there, so following the order pays off. A
+/// prefix of a single caller is never cached there, so the least loaded engine may serve it.
 /// Priority and length distinguish these kinds of requests well enough.
 #[derive(Debug, Clone)]
 pub struct CacheHitEstimate {
--- a/crates/core/src/placement/candidate_order.rs
+++ b/crates/core/src/placement/candidate_order.rs
@@ -15,7 +15,8 @@
 }
 
 impl CandidateOrder {
-    /// Orders the best of the members at `kept` for a prompt; at most `limit` remain.
+    /// Orders the members at the positions `kept` for a prompt and keeps the best `limit`. `widths`
+    /// are those of its prefixes, the outermost first; `key` orders the members within each set.
     pub fn new(
         members: &[PoolMember],
         mut kept: Vec<usize>,
--- a/crates/core/src/placement/data_centre_latency.rs
+++ b/crates/core/src/placement/data_centre_latency.rs
@@ -9,8 +9,8 @@
 /// network path becomes longer.
 const RISE_WEIGHT: f64 = 0.02;
 
-/// Estimates the additional round-trip time to other data centres over that within the own one,
-/// from the times between requests and the heads of their responses.
+/// Estimates how much longer the round trip to other data centres is than within this process's own
+/// data centre, from the times between requests and the heads of their responses.
 ///
 /// Each data centre keeps a slowly rising minimum. Only differences count, so it does not matter
 /// whether engines send the head at once or with the first token.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Additional round-trip time to this data centre over that within the own one.
+    /// How much longer the round trip to this data centre is than within the own data centre.
     pub fn to(&self, data_centre: &DataCentreName) -> Duration {
         if *data_centre == self.own {
             return Duration::ZERO;
--- a/crates/core/src/placement/data_centre_preference.rs
+++ b/crates/core/src/placement/data_centre_preference.rs
@@ -9,7 +9,7 @@
 /// Parts per thousand in a whole.
 const PERMILLE: u64 = 1_000;
 
-/// Nesting level that decides the data centre, counted from the outermost. It is fixed, so that
+/// Nesting level that decides the data centre; the outermost is 0. It is fixed, so that
 /// requests with the same prefix go to the same data centre however loads change. It lies inside
 /// the tenant's own prefixes, so that one large tenant can be migrated in steps.
 const SPLIT_LEVEL: usize = 2;
@@ -56,6 +56,8 @@
     })
 }
 
+/// Hash of the prefix that ends with level [`SPLIT_LEVEL`], or with the last level but one when the
+/// prompt has too few levels; a single level is hashed itself.
 fn split_key(prefix: &PrefixChain) -> Option<u64> {
     let levels = prefix.level_ends().count();
     let level = SPLIT_LEVEL.min(levels.saturating_sub(2));
--- a/crates/core/src/placement/placement_points.rs
+++ b/crates/core/src/placement/placement_points.rs
@@ -19,6 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PlacementPoints {
     points: Vec<PlacementPoint>,
+    /// Number of points, from the first, that other prompts are likely to share.
     shared: usize,
 }
 
--- a/crates/core/src/placement/retention.rs
+++ b/crates/core/src/placement/retention.rs
@@ -9,8 +9,9 @@
     duration: Duration,
 }
 
-/// Engines evict within seconds while their caches are under pressure. But a shorter estimate would
-/// then forget the engines that requests must return to for the caches to recover.
+/// Engines evict within seconds while their caches are under pressure. With such a short estimate,
+/// requests would no longer return to the engines that held their prefixes, and the caches could not
+/// recover.
 const MIN_RETENTION: Duration = Duration::from_secs(10);
 const MAX_RETENTION: Duration = Duration::from_secs(600);
 const SHRINK_FACTOR: f64 = 0.8;
