--- a/crates/core/src/quota/account.rs
+++ b/crates/core/src/quota/account.rs
@@ -18,7 +18,7 @@
 /// A new account begins with this much of the limit used up, because the process may have been
 /// restarted and lost what it admitted before.
 const PRESUMED_USE: Duration = Duration::from_secs(1);
-/// Maximum debt after usage beyond the limit, as the time in which the limit compensates it.
+/// Maximum debt after usage beyond the limit, as the time in which the limit allows that amount.
 const MAX_DEBT: Duration = Duration::from_secs(4);
 /// Share of the admitted amount that goes to all requests alike, so that no priority is shut out.
 /// The rest goes to the most urgent requests first.
@@ -26,7 +26,7 @@
 /// A request that uses less than this share of the tenant's mean request is given the most urgent
 /// priority, because refusing it would save nothing.
 const SMALL_REQUEST_SHARE: f64 = 0.1;
-/// Bounds of the period over which refused callers are told to return. The period is the time in
+/// Bounds of the period over which the retries of refused callers are spread. The period is the time in
 /// which the limit admits what is asked for in one second.
 const MIN_SPREAD_S: f64 = 0.5;
 const MAX_SPREAD_S: f64 = 4.0;
@@ -48,9 +48,9 @@
 impl Account {
     /// Opens an account at `now`, in a process that has run for `uptime`.
     pub fn new(limit: &Limit, uptime: Duration, now: Timestamp) -> Self {
-        let forgotten = PRESUMED_USE.saturating_sub(uptime).as_secs_f64();
+        let presumed = PRESUMED_USE.saturating_sub(uptime).as_secs_f64();
         let filled = uptime.saturating_sub(PRESUMED_USE).as_secs_f64();
-        let balance = limit.per_second * (filled - forgotten);
+        let balance = limit.per_second * (filled - presumed);
         Self {
             balance: balance.min(limit.burst),
             balanced_at: now,
@@ -119,7 +119,7 @@
         priority
     }
 
-    /// Charges the account for an admitted request, also when it runs once more.
+    /// Charges the account for an admitted request, and again for each further run of the request.
     pub fn charge(&mut self, peers: &Peers, amount: f64, now: Timestamp) {
         self.admitted.count(amount, now);
         let represented_nodes = if peers.is_uninformed {
@@ -156,6 +156,7 @@
         }
     }
 
+    /// Amount per second that is asked for at this node, averaged over `STEADY_WINDOW`.
     fn steady_asked(&self, now: Timestamp) -> f64 {
         let meters = self.asked_by_priority.values();
         meters.map(|meter| meter.per_second(now)).sum()
--- a/crates/core/src/quota/limit.rs
+++ b/crates/core/src/quota/limit.rs
@@ -19,8 +19,8 @@
 }
 
 impl Limit {
-    /// The rate and burst that nodes enforce to make the most of the limit. In any window they
-    /// exceed the limit by at most a part of the tolerance.
+    /// The rate and burst that nodes enforce so that a tenant can use its whole limit. In any window
+    /// they exceed the limit by at most a part of the tolerance.
     pub fn control_target(&self, tolerance: &Tolerance) -> Self {
         let window_s = tolerance.window.as_secs_f64().max(1.0);
         let in_window = self.per_second * window_s + self.burst;
--- a/crates/core/src/quota/request.rs
+++ b/crates/core/src/quota/request.rs
@@ -1,6 +1,6 @@
-//! A request as limits see it.
+//! A request to decide on.
 
-/// A request as limits see it.
+/// What an [`Account`](super::Account) needs to know of a request to decide on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
     /// Amount that the request uses, in the unit of the limit.
