--- a/crates/core/src/backpressure/limit.rs
+++ b/crates/core/src/backpressure/limit.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use super::{SenderPosition, sender_share};
+use super::{Position, sender_share};
 use crate::Timestamp;
 use crate::limit::TokenBucket;
 
-/// Burst that a node may accumulate from its share, where this is more than one request. Requests do not arrive evenly.
+/// A node may accumulate its share over this time, and at least one request, because requests do not arrive evenly.
 const BURST: Duration = Duration::from_secs(1);
 /// A limit stays in force for this long after responses began to omit it, because such responses may date from before
 /// the limit.
@@ -37,7 +37,7 @@
     advertised_at: Timestamp,
     /// Since when the responses to this node omit the limit.
     omitted_since: Option<Timestamp>,
-    /// For how long they had omitted it at the last such response.
+    /// For how long the responses had omitted the limit when the last of them arrived.
     omitted_for: Duration,
     /// For how long responses may omit the limit before it begins to recover.
     grace_period: Duration,
@@ -103,7 +103,7 @@
     }
 
     /// Updates this node's share from its position among the senders.
-    pub(super) fn set_position(&mut self, position: &SenderPosition, now: Timestamp) {
+    pub(super) fn set_position(&mut self, position: &Position, now: Timestamp) {
         let recovering = self.omitted_for.saturating_sub(self.grace_period);
         let steps = recovering.as_secs_f64() / RECOVERY_STEP.as_secs_f64();
         let recovered_rate = self.per_second * steps.exp2();
