--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -4,7 +4,7 @@
 
 mod answers;
 mod attempt_ends;
-mod endings;
+mod finishing;
 mod placing;
 mod queueing;
 mod retries;
@@ -245,7 +245,7 @@
         let mut members: BTreeMap<&PoolName, Vec<PoolMember>> = BTreeMap::new();
         let retention = Retention::new(self.parameters.retention);
         for back_end in catalog.back_ends.values() {
-            let key = self.engines.key_of(back_end, retention);
+            let key = self.engines.key_or_insert(back_end, retention);
             let takes_work = back_end.state == BackEndState::Active
                 && !snapshot.leaving.contains(&back_end.name);
             if takes_work {
--- a/crates/core/src/dispatch/dispatcher/retries.rs
+++ b/crates/core/src/dispatch/dispatcher/retries.rs
@@ -38,23 +38,23 @@
                 if reason != NotRunReason::IncarnationMismatch || ended.resumes.is_some() {
                     record.failed_engines.insert(ended.engine);
                 }
-                self.run_again_or_refuse(request, now, actions);
+                self.retry_or_refuse(request, now, actions);
             }
             AttemptOutcome::Broken { chunks } => {
                 record.record_run_state(RunState::Ran);
                 record.delivered_chunks = record.delivered_chunks.max(chunks);
-                self.resume_or_run_again(request, attempt, ended, now, actions);
+                self.resume_or_retry(request, attempt, ended, now, actions);
             }
             AttemptOutcome::Unknown => {
                 record.record_run_state(RunState::Unknown);
-                self.resume_or_run_again(request, attempt, ended, now, actions);
+                self.resume_or_retry(request, attempt, ended, now, actions);
             }
         }
     }
 
     /// Resumes an interrupted stream from the same incarnation, which does not run the request
     /// again. If that has failed before or is not possible, retries the request on another engine.
-    fn resume_or_run_again(
+    fn resume_or_retry(
         &mut self,
         request: RequestId,
         attempt: AttemptId,
@@ -75,7 +75,7 @@
             && ended.incarnation.is_some()
             && is_same_process(ended.engine).is_some();
         let Some(back_end) = back_end.filter(|_| can_resume) else {
-            self.run_again_or_refuse(request, now, actions);
+            self.retry_or_refuse(request, now, actions);
             return;
         };
         let resume = ResumePoint::SameEngine {
@@ -94,7 +94,7 @@
         self.start(request, choice, Some(resume), now, actions);
     }
 
-    fn run_again_or_refuse(
+    fn retry_or_refuse(
         &mut self,
         request: RequestId,
         now: Timestamp,
--- a/crates/core/src/dispatch/dispatcher/submission.rs
+++ b/crates/core/src/dispatch/dispatcher/submission.rs
@@ -9,7 +9,7 @@
 use crate::timestamp::Timestamp;
 
 use super::Dispatcher;
-use super::endings::refuse_unadmitted;
+use super::finishing::refuse_unadmitted;
 
 impl Dispatcher {
     pub(super) fn admit(
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -253,15 +253,18 @@
             self.now,
         );
         let latency = self.latency(member);
-        let until_first_token = tokens_ahead + uncached_tokens + import_cost;
+        let tokens_until_first_token = tokens_ahead + uncached_tokens + import_cost;
         let kv_memory_cost = self.kv_memory_cost(engine);
         let penalty = uncached_tokens * self.parameters.recompute_penalty(priority);
         Candidate {
             member,
             is_probe: !engine.health.is_serving(),
             has_room: self.has_room(engine, record, priority),
-            cost: until_first_token + self.pool.tokens_in(latency) + kv_memory_cost + penalty,
-            first_token_in: self.pool.prefill_time(until_first_token) + latency,
+            cost: tokens_until_first_token
+                + self.pool.tokens_in(latency)
+                + kv_memory_cost
+                + penalty,
+            first_token_in: self.pool.prefill_time(tokens_until_first_token) + latency,
             import: import.map(|point| (point.hash, point.end_tokens)),
             expectation: Expectation {
                 known_cached,
--- a/crates/core/src/dispatch/engine_record.rs
+++ b/crates/core/src/dispatch/engine_record.rs
@@ -94,7 +94,7 @@
 
     /// Whether the engine may get new work for these weights, as last observed.
     pub(super) fn accepts(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
-        !self.is_draining(now) && self.serves(weights, now)
+        !self.is_draining(now) && self.may_serve(weights, now)
     }
 
     /// Whether the engine reported within [`DRAINING_TIMEOUT`] that it is draining.
@@ -208,7 +208,7 @@
         }
     }
 
-    fn serves(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
+    fn may_serve(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
         let probed_recently = |at: Timestamp| now.since(at) < WEIGHTS_PROBE_INTERVAL;
         !self.has_other_weights(weights) || !self.weights_probed_at.is_some_and(probed_recently)
     }
--- a/crates/core/src/dispatch/engine_table.rs
+++ b/crates/core/src/dispatch/engine_table.rs
@@ -34,7 +34,7 @@
 
     /// The key of a back end; inserts it if it is new. A back end with a new address gets a new key
     /// and empty state.
-    pub(super) fn key_of(&mut self, back_end: &BackEnd, retention: Retention) -> EngineKey {
+    pub(super) fn key_or_insert(&mut self, back_end: &BackEnd, retention: Retention) -> EngineKey {
         if let Some(key) = self.keys.get(&back_end.name) {
             if self.records[key].address == back_end.address {
                 return *key;
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -23,6 +23,7 @@
 mod known_holder;
 mod kv_export;
 mod kv_import;
+mod moving_average;
 mod not_run_reason;
 mod observed_load;
 mod pool_state;
@@ -37,7 +38,6 @@
 mod routing_snapshot;
 mod run_state;
 mod sent_tokens;
-mod smoothed;
 mod tenant_limiter;
 
 pub use assignment::Assignment;
--- a/crates/core/src/dispatch/smoothed.rs
+++ b/crates/core/src/dispatch/moving_average.rs
@@ -2,12 +2,12 @@
 
 /// Exponential moving average.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Smoothed {
+pub(super) struct MovingAverage {
     value: f64,
     weight: f64,
 }
 
-impl Smoothed {
+impl MovingAverage {
     /// Starts at `value`; each sample has the given `weight` (between 0 and 1).
     pub(super) fn new(value: f64, weight: f64) -> Self {
         Self { value, weight }
--- a/crates/core/src/dispatch/pool_state.rs
+++ b/crates/core/src/dispatch/pool_state.rs
@@ -7,7 +7,7 @@
 use crate::timestamp::Timestamp;
 
 use super::DispatchParameters;
-use super::smoothed::Smoothed;
+use super::moving_average::MovingAverage;
 
 /// Weight of a new sample in the moving averages of a pool.
 const SAMPLE_WEIGHT: f64 = 0.05;
@@ -29,11 +29,11 @@
     pub(super) service_rate: ServiceRate,
     pub(super) prefill_speed: PrefillSpeed,
     /// Uncached prompt tokens per request.
-    pub(super) mean_uncached_tokens: Smoothed,
+    pub(super) mean_uncached_tokens: MovingAverage,
     /// Share of uncertain prefix ranges found in the cache of the first engine in candidate order.
     pub(super) cache_hit_estimate: CacheHitEstimate,
-    residence_seconds: Smoothed,
-    own_share: Smoothed,
+    residence_seconds: MovingAverage,
+    own_share: MovingAverage,
 }
 
 impl PoolState {
@@ -44,10 +44,10 @@
             queue: RequestQueue::new(parameters.queue),
             service_rate: ServiceRate::new(now),
             prefill_speed: PrefillSpeed::new(speed),
-            mean_uncached_tokens: Smoothed::new(INITIAL_MEAN_UNCACHED_TOKENS, SAMPLE_WEIGHT),
+            mean_uncached_tokens: MovingAverage::new(INITIAL_MEAN_UNCACHED_TOKENS, SAMPLE_WEIGHT),
             cache_hit_estimate: CacheHitEstimate::new(INITIAL_HIT_SHARE),
-            residence_seconds: Smoothed::new(INITIAL_RESIDENCE_SECONDS, SAMPLE_WEIGHT),
-            own_share: Smoothed::new(1.0, SAMPLE_WEIGHT),
+            residence_seconds: MovingAverage::new(INITIAL_RESIDENCE_SECONDS, SAMPLE_WEIGHT),
+            own_share: MovingAverage::new(1.0, SAMPLE_WEIGHT),
         }
     }
 
--- a/crates/core/src/dispatch/tenant_limiter.rs
+++ b/crates/core/src/dispatch/tenant_limiter.rs
@@ -86,7 +86,7 @@
         let mut sends = Vec::new();
         self.client.receive(from, grant, now, &mut sends);
         push_sends(sends, actions);
-        self.retry(&grant.tenant, now, actions)
+        self.admit_waiting(&grant.tenant, now, actions)
     }
 
     /// Advances the time and returns the queued requests that are now admitted.
@@ -101,7 +101,7 @@
         let tenants: Vec<TenantName> = self.waiting.keys().cloned().collect();
         tenants
             .iter()
-            .flat_map(|tenant| self.retry(tenant, now, actions))
+            .flat_map(|tenant| self.admit_waiting(tenant, now, actions))
             .collect()
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Admits queued requests of a tenant in order of arrival, until one has to keep waiting.
-    fn retry(
+    fn admit_waiting(
         &mut self,
         tenant: &TenantName,
         now: Timestamp,
