--- a/crates/core/src/claim/claim_client.rs
+++ b/crates/core/src/claim/claim_client.rs
@@ -116,7 +116,7 @@
             request,
             digest,
             group,
-            asked_at: now,
+            requested_at: now,
             vote_deadline,
             verdicts: BTreeMap::new(),
         };
@@ -194,7 +194,7 @@
         self.held.insert(claim, held);
         let grant = ClaimGrant {
             claim,
-            dispatch_before: pending.asked_at.after(self.settings.grant_validity),
+            dispatch_before: pending.requested_at.after(self.settings.grant_validity),
         };
         actions.push(ClaimClientAction::Decided {
             request: pending.request,
@@ -222,9 +222,9 @@
             return ClaimOutcome::KeyExpired;
         }
         let wait = pending
-            .majority_knows_from()
-            .map_or(Duration::ZERO, |majority_knows_from| {
-                majority_knows_from.since(now)
+            .majority_can_vote_from()
+            .map_or(Duration::ZERO, |majority_can_vote_from| {
+                majority_can_vote_from.since(now)
             });
         self.unavailable(wait.max(self.settings.retry_after))
     }
--- a/crates/core/src/claim/claim_keeper.rs
+++ b/crates/core/src/claim/claim_keeper.rs
@@ -194,7 +194,7 @@
     /// long before it has been up for a whole claim lifetime.
     fn request_records(&mut self, now: Timestamp, sends: &mut Vec<ClaimEnvelope>) {
         let copied_lifetime = self.settings.opaque_key_lifetime + self.settings.clock_tolerance * 4;
-        let max_expiry_delay = self.settings.lifetime + self.settings.clock_tolerance * 2;
+        let min_expiry_delay = self.settings.lifetime + self.settings.clock_tolerance * 2;
         for (index, copy) in &mut self.copies {
             let group = &self.roster.groups[*index];
             if now < copy.start_at || now < copy.retry_at {
@@ -205,7 +205,7 @@
                 self.copy_rounds += 1;
                 copy.round = self.copy_rounds;
                 copy.copied_since = now.before(copied_lifetime);
-                let from_second = second_of(copy.copied_since.after(max_expiry_delay));
+                let from_second = second_of(copy.copied_since.after(min_expiry_delay));
                 let others = group.keepers.iter().filter(|name| **name != self.name);
                 copy.cursors = others.map(|name| (name.clone(), from_second)).collect();
             }
--- a/crates/core/src/claim/keeper_planner.rs
+++ b/crates/core/src/claim/keeper_planner.rs
@@ -134,9 +134,9 @@
             return;
         }
         let next = if self.roster.groups.is_empty() {
-            self.initial(alive, now)
+            self.initial_roster(alive, now)
         } else {
-            self.updated(alive, now)
+            self.updated_roster(alive, now)
         };
         if let Some(roster) = next {
             self.proposed_at = Some(now);
@@ -144,7 +144,11 @@
         }
     }
 
-    fn initial(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
+    fn initial_roster(
+        &self,
+        alive: &BTreeMap<NodeName, ZoneName>,
+        now: Timestamp,
+    ) -> Option<ClaimRoster> {
         let first = self.first_seen.values().min()?;
         let last = self.first_seen.values().max()?;
         let no_recent_joins = now >= last.after(self.settings.bootstrap_quiet_period);
@@ -183,7 +187,11 @@
             .is_some_and(|seen| now >= seen.after(self.settings.bootstrap_quiet_period))
     }
 
-    fn updated(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
+    fn updated_roster(
+        &self,
+        alive: &BTreeMap<NodeName, ZoneName>,
+        now: Timestamp,
+    ) -> Option<ClaimRoster> {
         let mut selector = KeeperSelector::new(alive, &self.roster.groups);
         let mut next = self.roster.clone();
         for (index, group) in next.groups.iter_mut().enumerate() {
--- a/crates/core/src/claim/pending_claim.rs
+++ b/crates/core/src/claim/pending_claim.rs
@@ -13,7 +13,7 @@
     pub request: RequestId,
     pub digest: KeyDigest,
     pub group: KeeperGroup,
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
     pub vote_deadline: Timestamp,
     pub verdicts: BTreeMap<NodeName, ClaimVerdict>,
 }
@@ -43,8 +43,8 @@
 
     /// When a majority of the keepers has granted the claim or covers the key again; `None` if too
     /// few keepers stated this.
-    pub fn majority_knows_from(&self) -> Option<Timestamp> {
-        let mut majority_knows_from: Vec<Timestamp> = self
+    pub fn majority_can_vote_from(&self) -> Option<Timestamp> {
+        let mut can_vote_from: Vec<Timestamp> = self
             .verdicts
             .values()
             .filter_map(|verdict| match verdict {
@@ -53,8 +53,8 @@
                 _ => None,
             })
             .collect();
-        majority_knows_from.sort_unstable();
-        majority_knows_from.get(self.group.majority() - 1).copied()
+        can_vote_from.sort_unstable();
+        can_vote_from.get(self.group.majority() - 1).copied()
     }
 
     fn count(&self, verdict: ClaimVerdict) -> usize {
