--- a/crates/core/src/release/baseline.rs
+++ b/crates/core/src/release/baseline.rs
@@ -25,9 +25,9 @@
 impl Baseline {
     /// Adds answers.
     pub fn note(&mut self, tally: Tally) {
-        let kept = 0.5_f64.powf(f64::from(tally.answers) / HALF_LIFE_ANSWERS);
-        self.answers = self.answers * kept + f64::from(tally.answers);
-        self.bad = self.bad * kept + f64::from(tally.bad());
+        let decay = 0.5_f64.powf(f64::from(tally.answers) / HALF_LIFE_ANSWERS);
+        self.answers = self.answers * decay + f64::from(tally.answers);
+        self.bad = self.bad * decay + f64::from(tally.bad());
     }
 
     /// Estimated share of bad answers.
--- a/crates/core/src/release/comparison.rs
+++ b/crates/core/src/release/comparison.rs
@@ -98,7 +98,7 @@
 /// Bad answers of an engine in short succession.
 #[derive(Debug, Clone, Copy)]
 struct Burst {
-    begun_at: Timestamp,
+    started_at: Timestamp,
     counted: u32,
 }
 
@@ -181,11 +181,11 @@
     /// Limits the bad answers of an engine that count, so that a crash counts only once.
     fn counted_bad(&mut self, engine: EngineKey, bad: u32, now: Timestamp) -> u32 {
         let fresh = Burst {
-            begun_at: now,
+            started_at: now,
             counted: 0,
         };
         let burst = self.bursts.entry(engine).or_insert(fresh);
-        if now.since(burst.begun_at) >= CRASH_SPAN {
+        if now.since(burst.started_at) >= CRASH_SPAN {
             *burst = fresh;
         }
         let counted = bad.min(MAX_COUNTED_PER_CRASH - burst.counted);
@@ -253,8 +253,8 @@
             *scores.entry(key.engine).or_default() += score;
         }
         let worst = scores.values().copied().max_by(f64::total_cmp);
-        let excluded = worst.filter(|_| engines > 1).unwrap_or_default();
-        scores.values().sum::<f64>() - excluded <= MAX_ACCEPTED_SCORE
+        let omitted = worst.filter(|_| engines > 1).unwrap_or_default();
+        scores.values().sum::<f64>() - omitted <= MAX_ACCEPTED_SCORE
     }
 
     fn bad_rate(&self, route: RouteKey) -> f64 {
--- a/crates/core/src/release/exposure.rs
+++ b/crates/core/src/release/exposure.rs
@@ -30,13 +30,13 @@
 }
 
 impl Window {
-    /// Whether the range contains the engine at index `place` of `engines` engines.
-    pub fn holds(&self, place: usize, engines: usize) -> bool {
+    /// Whether the range contains the engine at index `index` of `engines` engines.
+    pub fn contains(&self, index: usize, engines: usize) -> bool {
         if engines == 0 {
             return false;
         }
-        let after = (place + engines - self.first as usize % engines) % engines;
-        after < self.count as usize
+        let offset = (index + engines - self.first as usize % engines) % engines;
+        offset < self.count as usize
     }
 }
 
--- a/crates/core/src/release/fleet.rs
+++ b/crates/core/src/release/fleet.rs
@@ -14,5 +14,5 @@
     /// Whether a node that may still have requests on these engines does not report.
     pub has_silent_nodes: bool,
     /// Maximum duration of a request of the pool.
-    pub longest_request: Duration,
+    pub max_request_duration: Duration,
 }
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -57,7 +57,7 @@
 pub struct Progress {
     order: Order,
     settings: Settings,
-    begun_at: Timestamp,
+    started_at: Timestamp,
     stage: Stage,
     stage_since: Timestamp,
     comparison: Comparison,
@@ -72,7 +72,7 @@
         Self {
             order,
             settings,
-            begun_at: now,
+            started_at: now,
             stage: Stage::Trial,
             stage_since: now,
             comparison: Comparison::default(),
@@ -89,9 +89,9 @@
     /// `age` ago. If requests had begun to move, the release continues with the trial; this takes
     /// time but does not affect callers.
     pub fn resume(grant: &Grant, age: Duration, settings: Settings, now: Timestamp) -> Self {
-        let begun_at = now.before(age).before(grant.elapsed);
+        let started_at = now.before(age).before(grant.elapsed);
         let mut trial = Self::new(grant.order.clone(), settings, now);
-        trial.begun_at = begun_at;
+        trial.started_at = started_at;
         if grant.stage.is_final() {
             trial.stage = grant.stage;
         }
@@ -126,7 +126,7 @@
 
     /// Time since the release began.
     pub fn elapsed(&self, now: Timestamp) -> Duration {
-        now.since(self.begun_at)
+        now.since(self.started_at)
     }
 
     /// Updates the stage from what is known now; returns `true` if it has changed.
@@ -225,7 +225,7 @@
         }
         // Nodes that don't report may still have requests on engines of the present version, but
         // these end within this time.
-        let has_timed_out = settled >= fleet.longest_request + self.settings.grant_lifetime();
+        let has_timed_out = settled >= fleet.max_request_duration + self.settings.grant_lifetime();
         let is_idle_for_long = now.since(*idle_since) >= IDLE_TIME;
         // Time for the grant of this stage to reach the nodes. Where it does not arrive, the earlier
         // grant expires.
@@ -287,12 +287,12 @@
     if !has_traffic(total) {
         return true;
     }
-    let least = MIN_ANSWERS.min(present.answers / 10);
-    if total.target().answers < least {
+    let min_answers = MIN_ANSWERS.min(present.answers / 10);
+    if total.target().answers < min_answers {
         return false;
     }
     let answers = total.target_by_engine();
-    let seen = answers.filter(|answers| *answers >= MIN_ANSWERS_PER_ENGINE.min(least));
+    let seen = answers.filter(|answers| *answers >= MIN_ANSWERS_PER_ENGINE.min(min_answers));
     if seen.count() < Comparison::min_engines_for_rollback(engines) {
         return false;
     }
@@ -300,8 +300,8 @@
     let mut busy = routes.filter(|(_, tally)| tally.answers >= BUSY_ROUTE_ANSWERS);
     busy.all(|(CountKey { route, .. }, tally)| {
         let share = f64::from(tally.answers) * MIN_SHARE_PER_ROUTE;
-        let least = MAX_ANSWERS_NEEDED_PER_ROUTE.min(share as u32);
-        total.target_on(route).answers >= least
+        let min_answers = MAX_ANSWERS_NEEDED_PER_ROUTE.min(share as u32);
+        total.target_on(route).answers >= min_answers
     })
 }
 
--- a/crates/core/src/release/recent_answers.rs
+++ b/crates/core/src/release/recent_answers.rs
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Answers that came at `from` or later; if they are fewer than `least`, earlier ones are
+    /// Answers that came at `from` or later; if they are fewer than `min_answers`, earlier ones are
     /// included.
-    pub(super) fn since(&self, from: Timestamp, least: u32) -> Tally {
+    pub(super) fn since(&self, from: Timestamp, min_answers: u32) -> Tally {
         let mut sum = Tally::default();
         for (at, tally) in self.answers.iter().rev() {
-            if *at < from && sum.answers >= least {
+            if *at < from && sum.answers >= min_answers {
                 break;
             }
             sum.add(*tally);
--- a/crates/core/tests/release_trial.rs
+++ b/crates/core/tests/release_trial.rs
@@ -224,7 +224,7 @@
         target,
         running_at_present: 0,
         has_silent_nodes: false,
-        longest_request: Duration::from_secs(5),
+        max_request_duration: Duration::from_secs(5),
     }
 }
 
@@ -442,6 +442,6 @@
 #[test]
 fn window_goes_round() {
     let window = Window { first: 4, count: 2 };
-    let held: Vec<_> = (0..5).filter(|place| window.holds(*place, 5)).collect();
+    let held: Vec<_> = (0..5).filter(|place| window.contains(*place, 5)).collect();
     assert_eq!(held, [0, 4]);
 }
--- a/crates/core/tests/release_world/mod.rs
+++ b/crates/core/tests/release_world/mod.rs
@@ -153,7 +153,7 @@
             target: case.engines,
             running_at_present: running.count() as u32,
             has_silent_nodes: false,
-            longest_request: Duration::from_secs(5),
+            max_request_duration: Duration::from_secs(5),
         };
         trial.advance(&fleet, &evidence.total(), now);
         let grant = trial.grant(1, 1, 1, now);
@@ -177,7 +177,7 @@
                         .filter(|place| {
                             grant
                                 .window
-                                .is_none_or(|window| window.holds(*place, case.engines))
+                                .is_none_or(|window| window.contains(*place, case.engines))
                         })
                         .collect();
                     places[random.random_range(0..places.len())] as u32 + 1
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -111,19 +111,19 @@
             .copied()
             .collect();
         let table = state.table.as_ref();
-        let longest_request =
+        let max_request_duration =
             table.map_or(Duration::ZERO, |table| table.longest_timeout(&order.pool));
         // A node that receives nothing from the director sends no new requests to the target
         // version once its grant has expired.
         let lifetime = self.settings().releases.as_ref();
         let lifetime = lifetime.map_or(Duration::ZERO, |settings| settings.grant_lifetime());
-        let within = longest_request + lifetime;
+        let within = max_request_duration + lifetime;
         Fleet {
             present: able(&serving),
             target: able(&target),
             running_at_present: running.sum(),
             has_silent_nodes: self.silent_nodes_within(&state, within, now) > 0,
-            longest_request,
+            max_request_duration,
         }
     }
 }
--- a/crates/gateway/src/release/gate.rs
+++ b/crates/gateway/src/release/gate.rs
@@ -138,7 +138,7 @@
         engines.sort_unstable_by_key(|engine| engine.name_hash);
         let places = engines.into_iter().enumerate();
         let granted =
-            places.filter(|(place, _)| window.is_none_or(|window| window.holds(*place, count)));
+            places.filter(|(place, _)| window.is_none_or(|window| window.contains(*place, count)));
         let names = granted.map(|(_, engine)| engine.entry.name.clone());
         EngineFilter::Only(names.collect())
     }
