--- a/crates/core/src/dispatch/attempt_record.rs
+++ b/crates/core/src/dispatch/attempt_record.rs
@@ -18,7 +18,7 @@
     pub(super) engine: EngineKey,
     pub(super) priority: Priority,
     pub(super) started_at: Timestamp,
-    /// Time to first token, once it has arrived.
+    /// Measured time to first token; `None` until the token has arrived.
     pub(super) first_token_after: Option<Duration>,
     /// Incarnation that serves the attempt: the one required at the start, then the one that
     /// answered.
@@ -59,14 +59,14 @@
 pub(super) struct Expectation {
     /// Prompt tokens expected in the cache because this process sent them to the engine.
     pub(super) known_cached: u32,
-    /// Time since they were last used there, and the cache generation.
+    /// Time since the engine last used these tokens, and its cache generation at that use.
     pub(super) known_age: Option<(Duration, CacheEpoch)>,
-    /// Token range of the shared prefix that other processes may have sent there; set only for the
-    /// first engine in candidate order.
+    /// Token range of the shared prefix that other router processes may have sent to the engine;
+    /// set only for the first engine in candidate order.
     pub(super) uncertain_range: Option<UncertainRange>,
     /// Prompt tokens expected to be computed.
     pub(super) uncached_tokens: u32,
-    /// Prompt tokens that the engine computes before those of the request.
+    /// Prompt tokens of other requests that the engine computes first.
     pub(super) tokens_ahead: f64,
     /// Imported prefix and its length in tokens.
     pub(super) imported: Option<(BlockHash, u32)>,
--- a/crates/core/src/dispatch/candidate.rs
+++ b/crates/core/src/dispatch/candidate.rs
@@ -13,9 +13,10 @@
     pub(super) member: &'a PoolMember,
     pub(super) is_probe: bool,
     pub(super) has_room: bool,
-    /// Cost in prompt tokens to compute: queued tokens, those of the request, latency, import,
-    /// occupied KV memory and the penalty for recomputation.
+    /// Sum of the queued tokens, the request's uncached tokens, latency, import, occupied KV memory
+    /// and the penalty for recomputation, all expressed as a number of prompt tokens to compute.
     pub(super) cost: f64,
+    /// Estimated time to the first token.
     pub(super) first_token_in: Duration,
     /// Prefix to import before prefill, and its length in tokens.
     pub(super) import: Option<(BlockHash, u32)>,
--- a/crates/core/src/dispatch/choice.rs
+++ b/crates/core/src/dispatch/choice.rs
@@ -27,7 +27,7 @@
 pub(super) enum NoChoice {
     /// Engines are serving, but none has room.
     NoRoom {
-        /// Lowest estimated time to first token among these engines, if they had room.
+        /// Estimated time to first token on the fastest of these engines if it had room.
         first_token_in: Duration,
     },
     /// Engines exist, but none is serving; the first one may be tried again at `until`.
--- a/crates/core/src/dispatch/dispatch_parameters.rs
+++ b/crates/core/src/dispatch/dispatch_parameters.rs
@@ -15,8 +15,8 @@
     pub max_attempts: u32,
     /// Time after which a caller may retry when no back end was available.
     pub no_back_end_retry_after: Duration,
-    /// When no engine serves now, a request is queued if one can be tried again within this time;
-    /// else it is refused.
+    /// When no engine is available, a request is queued if an engine can be tried again within this
+    /// time; else it is refused.
     pub max_unavailable_wait: Duration,
     /// Limits of each pool's queue.
     pub queue: QueueLimits,
@@ -50,8 +50,8 @@
     /// Time after the first request during which prefixes may use any engine, because request rates
     /// are not yet known well enough to limit them to fewer.
     pub warm_up: Duration,
-    /// Engines, in candidate order, whose cost is estimated in addition to known holders of a
-    /// prefix.
+    /// Number of engines, in candidate order, whose cost is estimated in addition to that of the
+    /// engines known to cache part of the prompt.
     pub scored_candidates: usize,
     /// Length of the candidate order: further engines in it are tried when those above have no
     /// room.
@@ -61,7 +61,8 @@
     /// Penalty per recomputed token of a batch request, which can wait for the engine that caches
     /// its prefix.
     pub batch_recompute_penalty: f64,
-    /// Requests waiting in an engine above which its window shrinks.
+    /// Number of requests waiting in an engine above which its window (the limit on this process's
+    /// requests in it) shrinks.
     pub waiting_threshold: u32,
     /// Expected time a cache retains an unused prefix, until it has been measured.
     pub retention: Duration,
@@ -69,7 +70,8 @@
     pub zone_latency: Duration,
     /// Extra time to first token from an engine in another data centre, until it has been measured.
     pub data_centre_latency: Duration,
-    /// Data centres up to this latency are treated as one where no migration stage applies.
+    /// Data centres up to this latency are treated as a single one, unless a migration stage
+    /// applies to the request.
     pub near_data_centre_latency: Duration,
     /// Latency of a KV import before its first byte.
     pub kv_import_latency: Duration,
--- a/crates/core/src/dispatch/dispatcher/answers.rs
+++ b/crates/core/src/dispatch/dispatcher/answers.rs
@@ -27,14 +27,15 @@
             return;
         };
         engine.health.answered();
-        // The prefix is being cached by the process that answered, so its current cache generation
-        // counts.
+        // The engine may have restarted since the attempt was sent. The process that answered
+        // caches the prefix, so the prefix is recorded again under its cache generation.
         if let Some(record) = self.requests.get(&request) {
             self.cache_directory
                 .record(&record.points, key, engine.epoch(), now);
         }
     }
 
+    /// Updates the state of the engine and of its pool from the load that an answer states.
     pub(super) fn observe_answer(
         &mut self,
         key: EngineKey,
--- a/crates/core/src/dispatch/dispatcher/attempt_ends.rs
+++ b/crates/core/src/dispatch/dispatcher/attempt_ends.rs
@@ -106,6 +106,8 @@
                 pool.count_completion(now.since(ended.started_at), now);
                 self.retry_budget.earn();
                 if observation.is_none() {
+                    // An engine that reports no load is assumed to have no waiting requests. This
+                    // attempt no longer counts in `in_flight`, but it did while the engine ran it.
                     engine.window.observe(0, 0, engine.in_flight + 1, now);
                 }
                 if let Some(exported) = ended.expectation.exported {
@@ -158,6 +160,7 @@
         pool.cache_hit_estimate
             .observe(range.priority, range.tokens(), hit_share);
     }
+    // Prefill speed is measured only if neither queued tokens nor an import delayed the first token.
     let was_idle = expectation.tokens_ahead < 1.0 && expectation.imported.is_none();
     if let Some(first_token_after) = ended.first_token_after
         && was_idle
--- a/crates/core/src/dispatch/dispatcher/finishing.rs
+++ b/crates/core/src/dispatch/dispatcher/finishing.rs
@@ -64,8 +64,8 @@
         self.refuse(request, reason, retry_after, actions);
     }
 
-    /// Refuses a request finally. `retry_after` is passed on only if a retry can succeed and no
-    /// part of the request has run.
+    /// Finishes a request with a refusal. The refusal contains `retry_after` only if a retry can
+    /// succeed and the request certainly did not run.
     pub(super) fn refuse(
         &mut self,
         request: RequestId,
--- a/crates/core/src/dispatch/dispatcher/placing.rs
+++ b/crates/core/src/dispatch/dispatcher/placing.rs
@@ -35,6 +35,8 @@
         }
     }
 
+    /// Starts an attempt on the chosen engine, or refuses the request if even an optimistic estimate
+    /// of the time to first token exceeds its deadline.
     pub(super) fn start_unless_late(
         &mut self,
         request: RequestId,
@@ -55,6 +57,7 @@
         self.start(request, choice, resume, now, actions);
     }
 
+    /// Chooses an engine for a request, without changing any state.
     pub(super) fn choose(&self, request: &RequestId, now: Timestamp) -> Result<Choice, NoChoice> {
         let record = &self.requests[request];
         let pool = &self.pools[&record.profile.pool];
@@ -92,8 +95,8 @@
 
     /// Groups of data centres to try, in order. If a migration stage applies, the first group is
     /// the data centre that it selects, and the others are used only if that has no engine with
-    /// room. Otherwise all nearby data centres form the first group, because a cached prefix saves
-    /// more than low latency.
+    /// room. Otherwise all nearby data centres form the first group, because using a cached prefix
+    /// saves more time than choosing the data centre with the lowest latency.
     fn data_centres(&self, record: &RequestRecord) -> [Vec<DataCentreName>; 2] {
         let profile = &record.profile;
         let staged = preferred_data_centre(
--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -15,6 +15,8 @@
 const MAX_CONTINUATION_WAIT: Duration = Duration::from_secs(120);
 
 impl Dispatcher {
+    /// Queues a request until it can be placed, at most until its wait or its deadline ends.
+    /// `first_token_in` is the estimated time to first token on the fastest engine.
     pub(super) fn enqueue(
         &mut self,
         request: RequestId,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Removes the expiry entry of a queued request; the caller removes it from the queue itself.
+    /// Removes the expiry entry of a queued request; the caller removes the request from the queue.
     pub(super) fn remove_queue_expiry(&mut self, request: &RequestId) {
         let expires_at = self.requests[request].expires_at;
         self.queue_expiries.remove(&(expires_at, request.clone()));
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -28,8 +28,9 @@
 /// deterministic candidate order and those known to cache part of the prompt.
 ///
 /// The cost is the estimated time to first token, expressed in prompt tokens to compute, plus a
-/// penalty for recomputation and the cost of occupied KV memory. Running time grows with the number
-/// of engines considered, apart from one rendezvous hash for every engine of the data centres.
+/// penalty for recomputation and the cost of occupied KV memory. Running time depends on the number
+/// of engines considered, not on the size of the pool, except that one rendezvous hash is computed
+/// for every engine in the given data centres.
 pub(super) struct EngineChooser<'a> {
     pub(super) parameters: &'a DispatchParameters,
     pub(super) engines: &'a EngineTable,
@@ -60,6 +61,8 @@
         Err(error)
     }
 
+    /// Chooses an engine in these data centres. If none of the scored candidates has room, takes the
+    /// first engine with room among the rest of the candidate order.
     fn choose_in(
         &self,
         data_centres: &[DataCentreName],
@@ -163,6 +166,7 @@
             })
     }
 
+    /// Why none of `members` was chosen. `candidates` are those that are serving but have no room.
     fn no_choice<'b>(
         &self,
         members: impl Iterator<Item = &'b PoolMember>,
@@ -340,7 +344,8 @@
         }
     }
 
-    /// The longest exported prefix, if importing it is faster than computing its uncached part.
+    /// The longest prefix in the KV store, if importing it is faster than computing the part of it
+    /// beyond the `cached` tokens.
     fn import_beyond(&self, cached: f64, record: &RequestRecord) -> Option<PlacementPoint> {
         self.kv_store?;
         let point = self
@@ -412,8 +417,8 @@
         }
     }
 
-    /// Exports the longest shared prefix if an earlier request had it too and it is not in the
-    /// store yet.
+    /// The export to request with this attempt: the longest shared prefix, if an earlier request had
+    /// it too and it is not in the KV store yet.
     fn export_after(&self, record: &RequestRecord) -> Option<KvExport> {
         let store = self.kv_store?;
         let shared = record.points.shared().last()?;
--- a/crates/core/src/dispatch/engine_record.rs
+++ b/crates/core/src/dispatch/engine_record.rs
@@ -33,10 +33,12 @@
     load: Option<ObservedLoad>,
     draining_at: Option<Timestamp>,
     weights_probed_at: Option<Timestamp>,
+    /// Number of this process's requests in the engine.
     pub(super) in_flight: u32,
     /// Prompt tokens of this process's requests that have no first token yet: interactive, batch.
     pending: [u64; 2],
     sent: SentTokens,
+    /// Limit of `in_flight`.
     pub(super) window: EngineWindow,
     pub(super) health: EngineHealth,
     pub(super) retention: Retention,
@@ -208,6 +210,8 @@
         }
     }
 
+    /// Whether the engine serves these weights as far as known, or is due for a request that finds
+    /// out whether it does now.
     fn may_serve(&self, weights: Option<WeightsVersion>, now: Timestamp) -> bool {
         let probed_recently = |at: Timestamp| now.since(at) < WEIGHTS_PROBE_INTERVAL;
         !self.has_other_weights(weights) || !self.weights_probed_at.is_some_and(probed_recently)
--- a/crates/core/src/dispatch/exported_prefixes.rs
+++ b/crates/core/src/dispatch/exported_prefixes.rs
@@ -6,7 +6,8 @@
 use crate::prompt::BlockHash;
 use crate::timestamp::Timestamp;
 
-/// Bounded table of prefixes that this process had exported to the KV store of their pool.
+/// Bounded table of prefixes that engines exported to the KV store of their pool at the request of
+/// this process.
 ///
 /// An entry is only a hint: a prefix that the store no longer has is recomputed. Hashes are salted
 /// with the weights version, so KV cache computed with other weights is never imported.
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,6 +1,8 @@
 //! Request handling inside one router process: admission, back-end selection, attempts, retries and
 //! the final outcome.
 //!
+//! A back end is also called an engine here, whether it serves a model or a service pool.
+//!
 //! [`Dispatcher`] is a state machine without I/O and the only entry point. The node and the
 //! simulator pass it [`DispatchEvent`]s and carry out the [`DispatchAction`]s that it returns.
 
--- a/crates/core/src/dispatch/pool_state.rs
+++ b/crates/core/src/dispatch/pool_state.rs
@@ -18,7 +18,8 @@
 /// Share of an [`UncertainRange`](super::attempt_record::UncertainRange) expected in the cache of
 /// the first engine in candidate order, until measured.
 const INITIAL_HIT_SHARE: f64 = 0.9;
-/// Lower bound of this process's share of an engine's load, which concurrency is divided by.
+/// Lower bound of this process's share of an engine's load, by which [`PoolState::concurrency`]
+/// divides.
 const MIN_OWN_SHARE: f64 = 0.001;
 
 /// State of one pool: its back ends, queue and moving averages.
@@ -62,8 +63,8 @@
         self.own_share.add(share);
     }
 
-    /// Estimated concurrent requests over all router processes, from the rate this process
-    /// receives.
+    /// Estimated number of concurrent requests over all router processes, derived from the rate at
+    /// which this process receives them.
     pub(super) fn concurrency(&self, own_requests_per_second: f64) -> f64 {
         let own = own_requests_per_second * self.residence_seconds.value();
         own / self.own_share.value().max(MIN_OWN_SHARE)
--- a/crates/core/src/dispatch/request_record.rs
+++ b/crates/core/src/dispatch/request_record.rs
@@ -24,7 +24,7 @@
     pub(super) attempts_made: u32,
     /// Run state over all attempts that have ended.
     pub(super) run_state: RunState,
-    /// Back ends on which an attempt failed; they are not tried again.
+    /// Engines on which an attempt failed; they are not tried again.
     pub(super) failed_engines: BTreeSet<EngineKey>,
     /// Chunks of the answer delivered to the caller, over all attempts.
     pub(super) delivered_chunks: u64,
@@ -33,7 +33,7 @@
     pub(super) queued_at: Option<Timestamp>,
     /// When the request is refused if it is still queued.
     pub(super) expires_at: Timestamp,
-    /// Reason of that refusal.
+    /// Reason for the refusal at `expires_at`.
     pub(super) expiry_reason: RefusalReason,
 }
 
--- a/crates/core/src/dispatch/sent_tokens.rs
+++ b/crates/core/src/dispatch/sent_tokens.rs
@@ -12,7 +12,7 @@
 
 /// Uncached prompt tokens that this process recently sent to an engine.
 ///
-/// They are added to the queued tokens that the engine reported before they were sent.
+/// Tokens sent after an engine's last report are added to the queued tokens that it reported.
 #[derive(Debug, Default)]
 pub(super) struct SentTokens {
     sends: VecDeque<(Timestamp, Priority, u32)>,
