--- a/crates/core/src/release/baseline.rs
+++ b/crates/core/src/release/baseline.rs
@@ -2,14 +2,14 @@
 
 use super::Tally;
 
-/// Weight of the prior, in answers, of which a share of [`MIN_BAD_RATE`] is bad. It is large enough
-/// that the first bad answer of either version doesn't decide alone.
+/// Number of assumed answers that are added to the counted ones; a share of [`MIN_BAD_RATE`] of them
+/// is bad. It is large enough that the first bad answer of either version doesn't decide alone.
 const PRIOR_ANSWERS: f64 = 40.0;
 /// Lower bound of the rate. Services answer some requests with errors even in normal operation, so
 /// smaller rates are not used to compare versions.
 const MIN_BAD_RATE: f64 = 0.01;
-/// Upper bound of the rate. The sum of the rate and the largest excess in the tests for a worse
-/// version must stay below one.
+/// Upper bound of the rate. The sum of the rate and the largest excess share that the target version
+/// is tested for (0.5) must stay below one.
 const MAX_BAD_RATE: f64 = 0.45;
 /// Number of further answers after which earlier ones count half. They span a few seconds of a
 /// pool's traffic, so a disruption of both versions shows in the present version's rate.
--- a/crates/core/src/release/comparison.rs
+++ b/crates/core/src/release/comparison.rs
@@ -16,34 +16,37 @@
 /// frequent; docs/design/releases.md has the rates measured with a hundred seeds per case.
 const ROLLBACK_SCORE: f64 = 12.0;
 /// Requests move to the target version only while the score is below this. Two bad answers out of
-/// ten exceed it. In a pool with little traffic there are few answers before requests are due to
-/// move, and of a version that fails one request in ten hardly more than two of them are bad.
+/// ten exceed it. The limit must be that low for pools with little traffic: few answers arrive
+/// there before requests are due to move, and a version that fails one request in ten gives hardly
+/// more than two bad answers in that time.
 const MAX_SHIFT_SCORE: f64 = 4.5;
 /// Requests move only if the logarithm of a likelihood ratio is at most this. The ratio compares a
 /// version whose share of bad answers is larger by [`ACCEPTED_EXCESS`] with one that does as well
-/// as the present version; the latter must be twenty times as likely.
+/// as the present version. The bound means that the answers are twenty times as likely from the
+/// latter.
 const MAX_ACCEPTED_SCORE: f64 = -3.0;
 /// Excess share of bad answers that must be ruled out before requests move. Pools with little
-/// traffic see few bad answers during the trial; without this condition half of such versions were
-/// completed (25 requests per second, a hundred seeds).
+/// traffic see few bad answers during the trial. Without this condition, half of the releases of
+/// versions with this excess were completed (25 requests per second, a hundred seeds).
 const ACCEPTED_EXCESS: f64 = 0.09;
 /// Requests don't move while at least this many recent answers were slow and their share exceeds
 /// that of the present version by [`SLOW_EXCESS`].
 const MIN_SLOW_ANSWERS: u32 = 2;
 /// Excess share of slow answers; see [`MIN_SLOW_ANSWERS`].
 const SLOW_EXCESS: f64 = 0.15;
-/// Period of recent answers. Of a version with 7 answers per second, four in ten of which became slow
-/// two seconds ago, most slow ones have arrived by then.
+/// Period of recent answers. If four in ten answers of a version with 7 answers per second became
+/// slow two seconds ago, most of the slow answers since then have arrived.
 const RECENT_TIME: Duration = Duration::from_secs(2);
-/// Minimum number of answers to look at. If fewer came within [`RECENT_TIME`], older ones are
-/// included, because a pool with few engines sends requests to the target version in surges that
-/// are seconds apart.
+/// Minimum number of recent answers. If fewer came within [`RECENT_TIME`], older ones are included,
+/// because in a pool with few engines the target version gets its requests in surges that are
+/// seconds apart.
 const MIN_RECENT_ANSWERS: u32 = 10;
 /// Time after which requests sent before a change of the versions' shares have been answered. Slow
 /// answers take several times as long as usual ones, which take some hundred milliseconds.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(1_200);
-/// From this number of target engines on, at least three of them must do worse before a rollback;
-/// with fewer engines, two. Faults of one or two engines need not be caused by their software.
+/// With at least this many target engines, three of them must do worse before a rollback; with
+/// fewer engines, two (see [`Comparison::min_engines_for_rollback`]). Faults of one or two engines
+/// need not be caused by their software.
 const MANY_ENGINES: usize = 6;
 /// When an engine crashes, all of its requests fail, and nodes report these failures within this
 /// time of each other.
@@ -77,8 +80,8 @@
     recent: RecentAnswers,
     /// When the versions' shares of the requests last differed from those of the trial.
     shares_changed_at: Option<Timestamp>,
-    /// Answers of the target version that include slow ones. They wait until the present version's
-    /// answers of the same time have arrived.
+    /// Answers of the target version that include slow ones. They are counted once the present
+    /// version's answers of the same time have arrived.
     pending: VecDeque<PendingAnswers>,
     /// Answers of the target version that came while all engines were slow, or that had no answers
     /// to be compared with. They are no evidence that the version is good.
@@ -108,8 +111,8 @@
     /// Slow answers lead to a rollback only during the trial. Later stages change the share of
     /// requests that the present version gets. A slow answer arrives late, when the answers around
     /// it belong to requests sent under other shares, and in the last stage there are none to
-    /// compare with. In later stages, slowness leads back to the trial instead
-    /// ([`Self::seems_slow`]).
+    /// compare with. In later stages, a version that seems slow ([`Self::seems_slow`]) goes back to
+    /// the trial instead.
     pub fn observe(&mut self, total: &Counts, stage: Stage, now: Timestamp) {
         if stage != Stage::Trial {
             self.shares_changed_at = Some(now);
@@ -290,6 +293,8 @@
         self.bursts.clear();
     }
 
+    /// The test with the highest score, and the score. The part of each engine is limited so that
+    /// fewer engines than [`Self::min_engines_for_rollback`] can't reach [`ROLLBACK_SCORE`].
     fn highest(&self, engines: usize) -> Option<(Scope, f64)> {
         let max_per_engine = match Self::min_engines_for_rollback(engines) {
             0 | 1 => f64::INFINITY,
--- a/crates/core/src/release/evidence.rs
+++ b/crates/core/src/release/evidence.rs
@@ -4,8 +4,8 @@
 
 use super::{CountKey, Counts, Judgement};
 
-/// Identifies a source of reports: one incarnation of a node, or one that reports the sum of many
-/// nodes.
+/// Identifies who reports answers: one incarnation of a node, or a zone for which the sum over its
+/// nodes is reported.
 pub type Reporter = u64;
 
 /// Answers that this node and the others have seen during a release.
--- a/crates/core/src/release/exposure.rs
+++ b/crates/core/src/release/exposure.rs
@@ -10,8 +10,9 @@
 /// length. At a share of 0.085 a surge then lasts at least a quarter of a second, long enough to
 /// load an engine as in normal use.
 const SURGE_INTERVAL: Duration = Duration::from_secs(3);
-/// With at least this many engines under trial at once, a fault of a single engine stands out.
-/// Smaller numbers of engines are rotated at [`ROTATION_INTERVAL`].
+/// With at least this many engines under trial at once, a fault of a single engine can be
+/// distinguished from one of the version. With fewer, other engines take their place at each
+/// [`ROTATION_INTERVAL`].
 const MIN_ENGINES_WITHOUT_ROTATION: usize = 3;
 /// Time for which the same engines are under trial: long enough for an engine to answer some
 /// requests, and short enough for several engines to have answered after three rotations.
--- a/crates/core/src/release/grant.rs
+++ b/crates/core/src/release/grant.rs
@@ -41,9 +41,10 @@
     /// Whether this grant replaces `other` of the same pool, regardless of the order in which they
     /// arrive.
     ///
-    /// A final stage is replaced only by a different order or by another final stage recorded later
-    /// in the source. The latter happens when a delayed record of one director conflicts with the
-    /// verdict of the next; the record is what the operator sees, so it decides.
+    /// A grant with a final stage is replaced only by one of a different order, or by one with a
+    /// final stage that was recorded later in the source. The latter happens when a delayed record
+    /// of one director conflicts with the verdict of the next; the operator sees the record, so it
+    /// decides.
     pub fn supersedes(&self, other: &Self) -> bool {
         if self.order != other.order {
             return self.revision > other.revision;
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -17,9 +17,10 @@
 const MIN_TRIAL_TIME: Duration = Duration::from_secs(2);
 /// Time after which the pool's traffic can be estimated; answers take some hundred milliseconds.
 const TRAFFIC_MEASURING_TIME: Duration = Duration::from_secs(2);
-/// Maximum share of requests that the slack adds to the target version's share. In a pool with few
-/// requests, the slack is a large part of what the target version may get, and needed for enough
-/// answers to detect a bad version. The limit spreads it over the trial.
+/// Maximum share of requests that the slack ([`Settings::exposure_slack`]) adds to the target
+/// version's share. In a pool with few requests, the slack is a large part of what the target
+/// version may get, and is needed to get enough answers to detect a bad version. The limit spreads
+/// it over the trial.
 const MAX_SLACK_SHARE: f64 = 0.15;
 /// Shares of new requests that the target version gets in sequence before it gets all. The steps
 /// are few, because while they last a version that has become bad gets more requests than in the
@@ -48,7 +49,7 @@
 /// The release is completed when no request has been seen on engines of the present version for
 /// this time. Reports of requests in progress are up to one second old.
 const IDLE_TIME: Duration = Duration::from_millis(1_200);
-/// A version that has not passed the trial after this many ramps is rolled back. Its engines may
+/// A version that has not passed the trial after this many times [`Order::ramp`] is rolled back. Its engines may
 /// not have started, or may not answer.
 const MAX_RAMPS: u32 = 3;
 
@@ -176,6 +177,7 @@
         }
     }
 
+    /// The stage that follows the trial, or the trial itself while it must go on.
     fn after_trial(&mut self, fleet: &Fleet, total: &Counts, now: Timestamp) -> Stage {
         let elapsed = self.elapsed(now);
         if elapsed >= self.order.ramp * MAX_RAMPS && now.since(self.stage_since) >= self.order.ramp
@@ -199,6 +201,7 @@
         }
     }
 
+    /// The stage that follows [`Stage::Shifting`], or that stage itself while it must go on.
     fn after_shift(&self, fleet: &Fleet, now: Timestamp) -> Stage {
         let is_doubtful =
             !self.comparison.allows_shift(fleet.target) || self.comparison.seems_slow(now);
@@ -212,6 +215,7 @@
         }
     }
 
+    /// The stage that follows [`Stage::Settling`], or that stage itself while it must go on.
     fn after_settling(&mut self, fleet: &Fleet, now: Timestamp) -> Stage {
         if !has_capacity_for_all(fleet) || self.comparison.seems_slow(now) {
             self.idle_since = None;
--- a/crates/core/src/release/recent_answers.rs
+++ b/crates/core/src/release/recent_answers.rs
@@ -12,11 +12,12 @@
 pub(super) const COMPARISON_RADIUS: Duration = Duration::from_millis(500);
 /// Time for which answers are kept.
 const RETENTION: Duration = Duration::from_secs(2);
-/// Number of entries that are kept even after that time.
+/// Number of latest entries that are kept even after [`RETENTION`].
 const MIN_RETAINED: usize = 20;
-/// Minimum number of answers before and after an answer for a comparison.
+/// Minimum number of answers for a comparison, both before and after the compared answer.
 const MIN_ANSWERS: u32 = 3;
-/// A single slow answer among a few doesn't mean that all engines are slow.
+/// Fewer slow answers than this count as none: a single one among a few answers doesn't mean that
+/// all engines are slow.
 const MIN_SLOW_ANSWERS: u32 = 2;
 /// Above this share of slow answers nearly all answers are slow whatever the version, so they are
 /// no evidence about it.
@@ -68,9 +69,9 @@
         sum
     }
 
-    /// Describes the slow answers around `moment`. The receiver holds the answers of the present
-    /// version. A general slowness may begin or end at that moment, so the larger share of slow
-    /// answers of the times before and after it is used.
+    /// The share of slow answers around `moment`; called on the answers of the present version.
+    /// The shares before and after `moment` are computed separately and the larger one is used,
+    /// because engines may become slow, or stop being slow, at that moment.
     pub(super) fn around(&self, moment: Timestamp) -> Control {
         let within = |from, to| {
             let answers = self.answers.iter();
--- a/crates/core/src/release/settings.rs
+++ b/crates/core/src/release/settings.rs
@@ -6,8 +6,8 @@
 /// reaching a verdict and for sending it to the nodes.
 const GRANT_LIFETIME_SHARE: f64 = 0.4;
 
-/// Share of `exposure_share` that nodes use. The rest covers what they can't count: requests
-/// forgotten in a restart of the node, and retried requests that engines count only once.
+/// Share of `exposure_share` that nodes use. The rest covers errors of their counts: a restarted node
+/// has lost its counts, and engines count a retried request only once.
 const USED_SHARE: f64 = 0.85;
 /// Share of `exposure_slack` that nodes use. The rest is a margin, because a node that is killed
 /// and restarted uses its part of the slack again.
