--- a/crates/core/src/claim/claim_keeper.rs
+++ b/crates/core/src/claim/claim_keeper.rs
@@ -193,7 +193,9 @@
     /// Requests the records of the other keepers. With them, this keeper can vote on older keys
     /// long before it has been up for a whole claim lifetime.
     fn request_records(&mut self, now: Timestamp, sends: &mut Vec<ClaimEnvelope>) {
+        // Far enough back that this keeper can vote on opaque keys once the copy is complete.
         let copied_lifetime = self.settings.opaque_key_lifetime + self.settings.clock_tolerance * 4;
+        // A claim expires no earlier than this time after its grant; see `store_claim`.
         let min_expiry_delay = self.settings.lifetime + self.settings.clock_tolerance * 2;
         for (index, copy) in &mut self.copies {
             let group = &self.roster.groups[*index];
@@ -253,7 +255,7 @@
         });
     }
 
-    /// Claims on a key that expire after `second`.
+    /// Claims on a key whose expiry second is `second`.
     fn records_expiring_at(&self, second: u32, digest: KeyDigest) -> Vec<ClaimRecord> {
         let conflicting_claims = self
             .conflicting_claims
@@ -332,7 +334,7 @@
         }
     }
 
-    /// Extends the coverage to older keys once the records of enough keepers were copied.
+    /// Extends the coverage to earlier grants once the records of enough keepers are copied.
     fn extend_coverage(&mut self, index: usize) {
         let Some(copy) = self.copies.get(&index) else {
             return;
@@ -375,6 +377,8 @@
         ClaimVerdict::Granted
     }
 
+    /// Why the keeper must not grant a claim on a key for which it stores no claim; `None` if it may
+    /// grant it.
     fn refusal(
         &self,
         request: &VoteRequest,
--- a/crates/core/src/claim/claim_settings.rs
+++ b/crates/core/src/claim/claim_settings.rs
@@ -22,9 +22,8 @@
     /// Interval at which an unacknowledged release is sent again.
     pub release_interval: Duration,
     /// Maximum number of times a release is sent; if none is acknowledged, the key stays claimed
-    /// for the lifetime. Together with `release_interval` this is longer than it takes to detect
-    /// and replace a dead stream to a keeper (10 s plus a connect), so that some sends use the new
-    /// stream.
+    /// for the lifetime. Sends at `release_interval` go on for longer than it takes to detect and
+    /// replace a dead stream to a keeper (10 s plus a connect), so that some use the new stream.
     pub max_release_sends: u32,
     /// Default time after which a refused caller may retry.
     pub retry_after: Duration,
--- a/crates/core/src/claim/claim_verdict.rs
+++ b/crates/core/src/claim/claim_verdict.rs
@@ -8,8 +8,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimVerdict {
-    /// The claim is granted: this keeper has granted no other claim on the key, which its records
-    /// would contain.
+    /// The claim is granted. The keeper's records reach back far enough to contain any other claim
+    /// that it granted on the key, and they contain none.
     Granted,
     /// Another claim holds the key.
     Held,
--- a/crates/core/src/claim/expiry_queue.rs
+++ b/crates/core/src/claim/expiry_queue.rs
@@ -15,8 +15,9 @@
         self.by_second.entry(second).or_default().push(digest);
     }
 
-    /// Keys that expire in `second` or later, in whole seconds until at least `count` are
-    /// collected, and the first second not included, if keys are left.
+    /// Keys whose claims expire in `second` or later, and the second from which to continue; `None`
+    /// if there are no further keys. Ends after the second with which `count` keys are reached, so
+    /// the keys of one second are never split.
     pub fn from(&self, second: u32, count: usize) -> (Vec<(u32, KeyDigest)>, Option<u32>) {
         let mut keys = Vec::new();
         for (second, digests) in self.by_second.range(second..) {
--- a/crates/core/src/claim/keeper_planner.rs
+++ b/crates/core/src/claim/keeper_planner.rs
@@ -134,9 +134,9 @@
             return;
         }
         let next = if self.roster.groups.is_empty() {
-            self.initial_roster(alive, now)
+            self.initial(alive, now)
         } else {
-            self.updated_roster(alive, now)
+            self.updated(alive, now)
         };
         if let Some(roster) = next {
             self.proposed_at = Some(now);
@@ -144,11 +144,8 @@
         }
     }
 
-    fn initial_roster(
-        &self,
-        alive: &BTreeMap<NodeName, ZoneName>,
-        now: Timestamp,
-    ) -> Option<ClaimRoster> {
+    /// The first roster; `None` while no node is known or further nodes may still join.
+    fn initial(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
         let first = self.first_seen.values().min()?;
         let last = self.first_seen.values().max()?;
         let no_recent_joins = now >= last.after(self.settings.bootstrap_quiet_period);
@@ -187,11 +184,8 @@
             .is_some_and(|seen| now >= seen.after(self.settings.bootstrap_quiet_period))
     }
 
-    fn updated_roster(
-        &self,
-        alive: &BTreeMap<NodeName, ZoneName>,
-        now: Timestamp,
-    ) -> Option<ClaimRoster> {
+    /// The roster with all changes that are due; `None` if there are none.
+    fn updated(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
         let mut selector = KeeperSelector::new(alive, &self.roster.groups);
         let mut next = self.roster.clone();
         for (index, group) in next.groups.iter_mut().enumerate() {
--- a/crates/core/src/claim/keeper_selector.rs
+++ b/crates/core/src/claim/keeper_selector.rs
@@ -8,8 +8,8 @@
 
 use super::KeeperGroup;
 
-/// Selects keepers so that each group is spread over zones and all nodes belong to about as many
-/// groups.
+/// Selects keepers so that each group is spread over zones and all nodes belong to about the same
+/// number of groups.
 pub(super) struct KeeperSelector<'a> {
     alive: &'a BTreeMap<NodeName, ZoneName>,
     groups_served: BTreeMap<NodeName, usize>,
--- a/crates/core/src/claim/pending_claim.rs
+++ b/crates/core/src/claim/pending_claim.rs
@@ -41,8 +41,9 @@
         self.count(verdict) > 0
     }
 
-    /// When a majority of the keepers has granted the claim or covers the key again; `None` if too
-    /// few keepers stated this.
+    /// Earliest time at which a majority of the keepers can vote on the key, according to their
+    /// verdicts. A keeper that granted the claim counts as able to vote at any time. `None` if too
+    /// few keepers granted the claim or stated a time.
     pub fn majority_can_vote_from(&self) -> Option<Timestamp> {
         let mut can_vote_from: Vec<Timestamp> = self
             .verdicts
