--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -16,7 +16,8 @@
 
 impl Dispatcher {
     /// Queues a request until it can be placed, at most until its wait or its deadline ends.
-    /// `first_token_in` is the estimated time to first token on the fastest engine.
+    /// `first_token_in` is the estimated time to first token if an engine had room, or the time until
+    /// an engine becomes available.
     pub(super) fn enqueue(
         &mut self,
         request: RequestId,
--- a/crates/core/src/dispatch/engine_chooser.rs
+++ b/crates/core/src/dispatch/engine_chooser.rs
@@ -166,7 +166,8 @@
             })
     }
 
-    /// Why none of `members` was chosen. `candidates` are those that are serving but have no room.
+    /// Why none of `members` was chosen. `candidates` are those that could serve the request but
+    /// have no room.
     fn no_choice<'b>(
         &self,
         members: impl Iterator<Item = &'b PoolMember>,
--- a/crates/core/src/release/fleet.rs
+++ b/crates/core/src/release/fleet.rs
@@ -11,7 +11,7 @@
     pub target: usize,
     /// Number of requests in progress on engines of the present version, as far as reported.
     pub running_at_present: u32,
-    /// Whether a node that may still have requests on these engines does not report.
+    /// Whether a node that may still have requests on engines of the present version does not report.
     pub has_silent_nodes: bool,
     /// Maximum duration of a request of the pool.
     pub max_request_duration: Duration,
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -49,8 +49,8 @@
 /// The release is completed when no request has been seen on engines of the present version for
 /// this time. Reports of requests in progress are up to one second old.
 const IDLE_TIME: Duration = Duration::from_millis(1_200);
-/// A version that has not passed the trial after this many times [`Order::ramp`] is rolled back. Its engines may
-/// not have started, or may not answer.
+/// A version that has not passed the trial after this many times [`Order::ramp`] is rolled back. Its
+/// engines may not have started, or may not answer.
 const MAX_RAMPS: u32 = 3;
 
 /// State machine of a release, run by its director.
@@ -201,7 +201,8 @@
         }
     }
 
-    /// The stage that follows [`Stage::Shifting`], or that stage itself while it must go on.
+    /// The stage that follows [`Stage::Shifting`], or that stage itself while it must go on; the trial
+    /// again if there is evidence against the target version or it lacks capacity.
     fn after_shift(&self, fleet: &Fleet, now: Timestamp) -> Stage {
         let is_doubtful =
             !self.comparison.allows_shift(fleet.target) || self.comparison.seems_slow(now);
@@ -215,7 +216,8 @@
         }
     }
 
-    /// The stage that follows [`Stage::Settling`], or that stage itself while it must go on.
+    /// The stage that follows [`Stage::Settling`], or that stage itself while it must go on; the trial
+    /// again if the target version seems slow or lacks capacity.
     fn after_settling(&mut self, fleet: &Fleet, now: Timestamp) -> Stage {
         if !has_capacity_for_all(fleet) || self.comparison.seems_slow(now) {
             self.idle_since = None;
