--- a/crates/core/src/claim/keeper_planner.rs
+++ b/crates/core/src/claim/keeper_planner.rs
@@ -144,6 +144,7 @@
         }
     }
 
+    /// The first roster; `None` while no node is known or further nodes may still join.
     fn initial(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
         let first = self.first_seen.values().min()?;
         let last = self.first_seen.values().max()?;
@@ -183,6 +184,7 @@
             .is_some_and(|seen| now >= seen.after(self.settings.bootstrap_quiet_period))
     }
 
+    /// The roster with all changes that are due; `None` if there are none.
     fn updated(&self, alive: &BTreeMap<NodeName, ZoneName>, now: Timestamp) -> Option<ClaimRoster> {
         let mut selector = KeeperSelector::new(alive, &self.roster.groups);
         let mut next = self.roster.clone();
--- a/crates/core/src/dispatch/dispatcher/queueing.rs
+++ b/crates/core/src/dispatch/dispatcher/queueing.rs
@@ -15,6 +15,9 @@
 const MAX_CONTINUATION_WAIT: Duration = Duration::from_secs(120);
 
 impl Dispatcher {
+    /// Queues a request until it can be placed, at most until its wait or its deadline ends.
+    /// `first_token_in` is the estimated time to first token if an engine had room, or the time until
+    /// an engine becomes available.
     pub(super) fn enqueue(
         &mut self,
         request: RequestId,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Removes the expiry entry of a queued request; the caller removes it from the queue itself.
+    /// Removes the expiry entry of a queued request; the caller removes the request from the queue.
     pub(super) fn remove_queue_expiry(&mut self, request: &RequestId) {
         let expires_at = self.requests[request].expires_at;
         self.queue_expiries.remove(&(expires_at, request.clone()));
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,6 +1,8 @@
 //! Request handling inside one router process: admission, back-end selection, attempts, retries and
 //! the final outcome.
 //!
+//! A back end is also called an engine here, whether it serves a model or a service pool.
+//!
 //! [`Dispatcher`] is a state machine without I/O and the only entry point. The node and the
 //! simulator pass it [`DispatchEvent`]s and carry out the [`DispatchAction`]s that it returns.
 
@@ -23,6 +25,7 @@
 mod known_holder;
 mod kv_export;
 mod kv_import;
+mod moving_average;
 mod not_run_reason;
 mod observed_load;
 mod pool_state;
@@ -37,7 +40,6 @@
 mod routing_snapshot;
 mod run_state;
 mod sent_tokens;
-mod smoothed;
 mod tenant_limiter;
 
 pub use assignment::Assignment;
--- a/crates/core/src/release/exposure.rs
+++ b/crates/core/src/release/exposure.rs
@@ -10,8 +10,9 @@
 /// length. At a share of 0.085 a surge then lasts at least a quarter of a second, long enough to
 /// load an engine as in normal use.
 const SURGE_INTERVAL: Duration = Duration::from_secs(3);
-/// With at least this many engines under trial at once, a fault of a single engine stands out.
-/// Smaller numbers of engines are rotated at [`ROTATION_INTERVAL`].
+/// With at least this many engines under trial at once, a fault of a single engine can be
+/// distinguished from one of the version. With fewer, other engines take their place at each
+/// [`ROTATION_INTERVAL`].
 const MIN_ENGINES_WITHOUT_ROTATION: usize = 3;
 /// Time for which the same engines are under trial: long enough for an engine to answer some
 /// requests, and short enough for several engines to have answered after three rotations.
@@ -30,13 +31,13 @@
 }
 
 impl Window {
-    /// Whether the range contains the engine at index `place` of `engines` engines.
-    pub fn holds(&self, place: usize, engines: usize) -> bool {
+    /// Whether the range contains the engine at index `index` of `engines` engines.
+    pub fn contains(&self, index: usize, engines: usize) -> bool {
         if engines == 0 {
             return false;
         }
-        let after = (place + engines - self.first as usize % engines) % engines;
-        after < self.count as usize
+        let offset = (index + engines - self.first as usize % engines) % engines;
+        offset < self.count as usize
     }
 }
 
--- a/crates/core/src/release/progress.rs
+++ b/crates/core/src/release/progress.rs
@@ -17,9 +17,10 @@
 const MIN_TRIAL_TIME: Duration = Duration::from_secs(2);
 /// Time after which the pool's traffic can be estimated; answers take some hundred milliseconds.
 const TRAFFIC_MEASURING_TIME: Duration = Duration::from_secs(2);
-/// Maximum share of requests that the slack adds to the target version's share. In a pool with few
-/// requests, the slack is a large part of what the target version may get, and needed for enough
-/// answers to detect a bad version. The limit spreads it over the trial.
+/// Maximum share of requests that the slack ([`Settings::exposure_slack`]) adds to the target
+/// version's share. In a pool with few requests, the slack is a large part of what the target
+/// version may get, and is needed to get enough answers to detect a bad version. The limit spreads
+/// it over the trial.
 const MAX_SLACK_SHARE: f64 = 0.15;
 /// Shares of new requests that the target version gets in sequence before it gets all. The steps
 /// are few, because while they last a version that has become bad gets more requests than in the
@@ -48,8 +49,8 @@
 /// The release is completed when no request has been seen on engines of the present version for
 /// this time. Reports of requests in progress are up to one second old.
 const IDLE_TIME: Duration = Duration::from_millis(1_200);
-/// A version that has not passed the trial after this many ramps is rolled back. Its engines may
-/// not have started, or may not answer.
+/// A version that has not passed the trial after this many times [`Order::ramp`] is rolled back. Its
+/// engines may not have started, or may not answer.
 const MAX_RAMPS: u32 = 3;
 
 /// State machine of a release, run by its director.
@@ -57,7 +58,7 @@
 pub struct Progress {
     order: Order,
     settings: Settings,
-    begun_at: Timestamp,
+    started_at: Timestamp,
     stage: Stage,
     stage_since: Timestamp,
     comparison: Comparison,
@@ -72,7 +73,7 @@
         Self {
             order,
             settings,
-            begun_at: now,
+            started_at: now,
             stage: Stage::Trial,
             stage_since: now,
             comparison: Comparison::default(),
@@ -89,9 +90,9 @@
     /// `age` ago. If requests had begun to move, the release continues with the trial; this takes
     /// time but does not affect callers.
     pub fn resume(grant: &Grant, age: Duration, settings: Settings, now: Timestamp) -> Self {
-        let begun_at = now.before(age).before(grant.elapsed);
+        let started_at = now.before(age).before(grant.elapsed);
         let mut trial = Self::new(grant.order.clone(), settings, now);
-        trial.begun_at = begun_at;
+        trial.started_at = started_at;
         if grant.stage.is_final() {
             trial.stage = grant.stage;
         }
@@ -126,7 +127,7 @@
 
     /// Time since the release began.
     pub fn elapsed(&self, now: Timestamp) -> Duration {
-        now.since(self.begun_at)
+        now.since(self.started_at)
     }
 
     /// Updates the stage from what is known now; returns `true` if it has changed.
@@ -176,6 +177,7 @@
         }
     }
 
+    /// The stage that follows the trial, or the trial itself while it must go on.
     fn after_trial(&mut self, fleet: &Fleet, total: &Counts, now: Timestamp) -> Stage {
         let elapsed = self.elapsed(now);
         if elapsed >= self.order.ramp * MAX_RAMPS && now.since(self.stage_since) >= self.order.ramp
@@ -199,6 +201,8 @@
         }
     }
 
+    /// The stage that follows [`Stage::Shifting`], or that stage itself while it must go on; the trial
+    /// again if there is evidence against the target version or it lacks capacity.
     fn after_shift(&self, fleet: &Fleet, now: Timestamp) -> Stage {
         let is_doubtful =
             !self.comparison.allows_shift(fleet.target) || self.comparison.seems_slow(now);
@@ -212,6 +216,8 @@
         }
     }
 
+    /// The stage that follows [`Stage::Settling`], or that stage itself while it must go on; the trial
+    /// again if the target version seems slow or lacks capacity.
     fn after_settling(&mut self, fleet: &Fleet, now: Timestamp) -> Stage {
         if !has_capacity_for_all(fleet) || self.comparison.seems_slow(now) {
             self.idle_since = None;
@@ -225,7 +231,7 @@
         }
         // Nodes that don't report may still have requests on engines of the present version, but
         // these end within this time.
-        let has_timed_out = settled >= fleet.longest_request + self.settings.grant_lifetime();
+        let has_timed_out = settled >= fleet.max_request_duration + self.settings.grant_lifetime();
         let is_idle_for_long = now.since(*idle_since) >= IDLE_TIME;
         // Time for the grant of this stage to reach the nodes. Where it does not arrive, the earlier
         // grant expires.
@@ -287,12 +293,12 @@
     if !has_traffic(total) {
         return true;
     }
-    let least = MIN_ANSWERS.min(present.answers / 10);
-    if total.target().answers < least {
+    let min_answers = MIN_ANSWERS.min(present.answers / 10);
+    if total.target().answers < min_answers {
         return false;
     }
     let answers = total.target_by_engine();
-    let seen = answers.filter(|answers| *answers >= MIN_ANSWERS_PER_ENGINE.min(least));
+    let seen = answers.filter(|answers| *answers >= MIN_ANSWERS_PER_ENGINE.min(min_answers));
     if seen.count() < Comparison::min_engines_for_rollback(engines) {
         return false;
     }
@@ -300,8 +306,8 @@
     let mut busy = routes.filter(|(_, tally)| tally.answers >= BUSY_ROUTE_ANSWERS);
     busy.all(|(CountKey { route, .. }, tally)| {
         let share = f64::from(tally.answers) * MIN_SHARE_PER_ROUTE;
-        let least = MAX_ANSWERS_NEEDED_PER_ROUTE.min(share as u32);
-        total.target_on(route).answers >= least
+        let min_answers = MAX_ANSWERS_NEEDED_PER_ROUTE.min(share as u32);
+        total.target_on(route).answers >= min_answers
     })
 }
 
