--- a/crates/gateway/src/engines/engine.rs
+++ b/crates/gateway/src/engines/engine.rs
@@ -211,7 +211,7 @@
 
     /// Whether the engine is not shutting down, according to its list entry and to its own signals,
     /// which may be newer.
-    pub fn is_staying(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         self.entry.state == EngineState::Ready && !self.condition.is_leaving()
     }
 
@@ -220,7 +220,7 @@
     /// all other engines cost more.
     pub fn takes_work(&self, now: Timestamp) -> bool {
         let is_misdirected = self.misdirected_until.is_some_and(|until| now < until);
-        let is_willing = self.is_staying() && !self.is_loading(now);
+        let is_willing = self.is_in_service() && !self.is_loading(now);
         is_willing && !is_misdirected && self.condition.exclusion(now).is_none()
     }
 
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -19,6 +19,6 @@
 pub use in_flight::InFlight;
 pub use incarnation_order::IncarnationOrder;
 pub use known_incarnations::KnownIncarnations;
-pub use phase_times::{PhaseTimes, ResponsePhase};
+pub use phase_times::{AnswerPhase, PhaseTimes};
 pub use start_delays::StartDelays;
 pub use time_estimate::TimeEstimate;
--- a/crates/gateway/src/engines/phase_times.rs
+++ b/crates/gateway/src/engines/phase_times.rs
@@ -13,7 +13,7 @@
 
 /// Phase of a response that is awaited on a connection to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum ResponsePhase {
+pub enum AnswerPhase {
     /// From sending a request to the head of its answer.
     Head,
     /// From the head of the answer to the first event of the stream.
@@ -26,12 +26,12 @@
 /// since model prompts and plain requests have little in common. See docs/design/accounting.md.
 #[derive(Debug, Default)]
 pub struct PhaseTimes {
-    estimates: HashMap<(PoolName, String, ResponsePhase), TimeEstimate>,
+    estimates: HashMap<(PoolName, String, AnswerPhase), TimeEstimate>,
 }
 
 impl PhaseTimes {
     /// Records that a phase took this time, or that it was still not complete after this time.
-    pub fn note(&mut self, pool: &PoolName, route: &str, phase: ResponsePhase, took: Duration) {
+    pub fn note(&mut self, pool: &PoolName, route: &str, phase: AnswerPhase, took: Duration) {
         let key = (pool.clone(), route.to_owned(), phase);
         if self.estimates.len() >= MAX_ESTIMATES && !self.estimates.contains_key(&key) {
             self.estimates.clear();
@@ -47,7 +47,7 @@
         &self,
         pool: &PoolName,
         route: &str,
-        phase: ResponsePhase,
+        phase: AnswerPhase,
     ) -> Option<TimeEstimate> {
         let key = (pool.clone(), route.to_owned(), phase);
         let estimate = self.estimates.get(&key)?;
--- a/crates/gateway/src/engines/time_estimate.rs
+++ b/crates/gateway/src/engines/time_estimate.rs
@@ -17,11 +17,11 @@
 /// Number of deviations above the mean that counts as too long while the engine answers requests
 /// sent later. Response times have heavy tails; the rate of false alarms is measured in
 /// docs/design/accounting.md.
-const DEVIATIONS_WHILE_OTHERS_ANSWERED: f64 = 8.0;
+const DEVIATIONS_WITH_LATER_ANSWERS: f64 = 8.0;
 /// Number of deviations above the mean that counts as too long while the engine sends nothing at
-/// all. It is larger than [`DEVIATIONS_WHILE_OTHERS_ANSWERED`], because the engine may only be
+/// all. It is larger than [`DEVIATIONS_WITH_LATER_ANSWERS`], because the engine may only be
 /// slow.
-const DEVIATIONS_WITHOUT_RESPONSE: f64 = 32.0;
+const DEVIATIONS_WITHOUT_ANSWERS: f64 = 32.0;
 
 /// Upper estimate of the time that a response phase takes.
 #[derive(Debug, Clone, Copy)]
@@ -59,13 +59,13 @@
 
     /// Time after which the phase is considered overdue while the engine answers requests sent
     /// later.
-    pub fn max_while_others_answered(&self) -> Duration {
-        self.timeout(DEVIATIONS_WHILE_OTHERS_ANSWERED)
+    pub fn max_with_later_answers(&self) -> Duration {
+        self.timeout(DEVIATIONS_WITH_LATER_ANSWERS)
     }
 
     /// Time after which the phase is considered overdue while the engine sends nothing at all.
-    pub fn max_without_response(&self) -> Duration {
-        self.timeout(DEVIATIONS_WITHOUT_RESPONSE)
+    pub fn max_without_answers(&self) -> Duration {
+        self.timeout(DEVIATIONS_WITHOUT_ANSWERS)
     }
 
     fn timeout(&self, deviations: f64) -> Duration {
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -34,7 +34,7 @@
         }
         let engines = state.engines.iter();
         let engines = engines.filter(|engine| !engine.entry.weights.is_empty());
-        let engines = engines.filter(|engine| engine.is_staying());
+        let engines = engines.filter(|engine| engine.is_in_service());
         engines
             .filter(|engine| self.follows_cache(&state, engine))
             .map(|engine| (engine.entry.name.clone(), engine.entry.address))
--- a/crates/gateway/src/gateway/cache_knowledge.rs
+++ b/crates/gateway/src/gateway/cache_knowledge.rs
@@ -52,7 +52,7 @@
     }
 
     /// Addresses of the KV stores that this node checks.
-    pub fn kv_stores_to_ask(&self) -> Vec<SocketAddr> {
+    pub fn kv_stores_to_poll(&self) -> Vec<SocketAddr> {
         let state = self.state();
         let stores = state.table.iter().flat_map(|table| table.kv_stores());
         let own = stores.filter(|store| self.asks_kv_store(&state, store));
--- a/crates/gateway/src/gateway/outdated_engines.rs
+++ b/crates/gateway/src/gateway/outdated_engines.rs
@@ -40,7 +40,7 @@
 
 fn has_older(engines: &EngineTable, model: &str, newest: u64) -> bool {
     engines.iter().any(|engine| {
-        let is_staying = engine.is_staying();
-        is_staying && engine.weights_of(model).is_some_and(|has| has < newest)
+        let is_in_service = engine.is_in_service();
+        is_in_service && engine.weights_of(model).is_some_and(|has| has < newest)
     })
 }
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -75,7 +75,7 @@
         let mut state = self.state_mut();
         let lifetime = self.crashed_entry_lifetime();
         let engine = state.engines.get_mut(&placement.engine);
-        let Some(engine) = engine.filter(|engine| engine.is_staying()) else {
+        let Some(engine) = engine.filter(|engine| engine.is_in_service()) else {
             return;
         };
         let crashed_at = engine.crashed_at().filter(|at| now.since(*at) < lifetime);
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -81,7 +81,7 @@
     /// Whether a request may have been blocked before this node started, judged by the crashes
     /// observed since. By the end of the discovery time the other nodes have reported the records
     /// that this node could not read.
-    pub(crate) fn may_be_held_back(&self, request: &AcceptedRequest) -> bool {
+    pub(crate) fn may_be_blocked(&self, request: &AcceptedRequest) -> bool {
         self.uptime() < PEER_DISCOVERY_TIME && self.is_suspect(request)
     }
 
--- a/crates/gateway/src/gateway/source_items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -314,7 +314,7 @@
         let disruption_age = state.engine_list_disrupted_at.map(|at| now.since(at));
         if state.may_entries_return(grace, now)
             && let Some(engine) = state.engines.get_mut(name)
-            && engine.is_staying()
+            && engine.is_in_service()
         {
             engine.is_unlisted = true;
             state.has_unlisted_engines = true;
--- a/crates/gateway/src/release/gate.rs
+++ b/crates/gateway/src/release/gate.rs
@@ -168,7 +168,7 @@
     fn has_present_engines(&self, known: &KnownRelease) -> bool {
         let order = &known.grant.order;
         let of_pool = self.engines.of_pool(&order.pool);
-        let ready = of_pool.filter(|engine| engine.is_staying());
+        let ready = of_pool.filter(|engine| engine.is_in_service());
         let mut versions = ready.map(|engine| &engine.entry.software);
         versions.any(|version| *version != order.target && !known.rejected.contains(version))
     }
@@ -185,7 +185,7 @@
         let target = &known.grant.order.target;
         let mut of_pool = self.engines.of_pool(&known.grant.order.pool);
         let has_target =
-            of_pool.any(|engine| engine.entry.software == *target && engine.is_staying());
+            of_pool.any(|engine| engine.entry.software == *target && engine.is_in_service());
         if !has_target {
             return self.without_release(versions);
         }
--- a/crates/gateway/src/rollout/rollout_planner.rs
+++ b/crates/gateway/src/rollout/rollout_planner.rs
@@ -122,7 +122,7 @@
                 loaded.push(name.clone());
                 return true;
             }
-            engine.is_staying() && has.is_some()
+            engine.is_in_service() && has.is_some()
         });
         for name in loaded {
             self.finish(&name, now, actions);
@@ -257,10 +257,10 @@
     fn is_due(&self, engine: &Engine, model: &str, version: u64) -> bool {
         let name = &engine.entry.name;
         let is_behind = engine.weights_of(model).is_some_and(|has| has < version);
-        let is_staying = engine.is_staying() && !engine.is_unlisted;
+        let is_in_service = engine.is_in_service() && !engine.is_unlisted;
         let is_reachable = engine.health.ejected_until().is_none();
         let is_free = !self.open.contains_key(name) && !self.resting.contains_key(name);
-        is_behind && is_staying && is_reachable && is_free
+        is_behind && is_in_service && is_reachable && is_free
     }
 
     /// An engine answered an order, or did not.
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -18,7 +18,7 @@
 use super::live_answer::LiveAnswer;
 use super::request_progress::RequestProgress;
 use super::silence_cause::SilenceCause;
-use crate::engines::{EngineLoad, InFlight, ResponsePhase};
+use crate::engines::{AnswerPhase, EngineLoad, InFlight};
 use crate::gateway::Gateway;
 use crate::placement::Placement;
 use crate::poison::Run;
@@ -218,7 +218,7 @@
     }
     let route = &request.route.name;
     let times = &mut state.phase_times;
-    times.note(&request.pool, route, ResponsePhase::Head, time_to_head);
+    times.note(&request.pool, route, AnswerPhase::Head, time_to_head);
 }
 
 /// Records that the engine accepted the request, and the weights stated in its answer.
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -85,8 +85,8 @@
     }
 
     /// Records on the connection that a part of the answer has arrived.
-    pub(super) fn note_heard(&self, gateway: &Gateway) {
-        gateway.upstream().note_heard(&self.connection);
+    pub(super) fn note_received(&self, gateway: &Gateway) {
+        gateway.upstream().note_received(&self.connection);
     }
 
     /// Keeps the connection for reuse, after the answer has been read to its end.
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -18,7 +18,7 @@
 use super::silence_cause::SilenceCause;
 use super::silence_detector::SilenceDetector;
 use crate::catalogue::RequestKind;
-use crate::engines::ResponsePhase;
+use crate::engines::AnswerPhase;
 use crate::gateway::Gateway;
 use crate::placement::{Placement, PlacementRequest};
 use crate::poison::Run;
@@ -126,7 +126,7 @@
             // attempts count neither against its maximum nor against the retry budget. Only the crash history that all
             // nodes share keeps it from the next engine.
             let is_known = self.gateway.wait_for_poison_records(&self.request).await;
-            if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
+            if !is_known && self.may_have_run && self.gateway.may_be_blocked(&self.request) {
                 return Err(self.poison_refusal(NO_ENGINE_RETRY));
             }
             let verdict = self.verdict();
@@ -200,7 +200,7 @@
         if !request.route.is_idempotent() || self.arrivals + 1 >= request.route.max_attempts {
             return attempt.await;
         }
-        let phase = ResponsePhase::Head;
+        let phase = AnswerPhase::Head;
         let detector = SilenceDetector::new(gateway, request, &placement.engine, phase, since);
         let Some(detector) = detector else {
             return attempt.await;
@@ -252,7 +252,7 @@
         &self,
         placement: &Placement,
         detector: &SilenceDetector,
-        phase: ResponsePhase,
+        phase: AnswerPhase,
         why: SilenceCause,
     ) -> AttemptError {
         let gateway = &self.gateway;
--- a/crates/gateway/src/serve/request_phase.rs
+++ b/crates/gateway/src/serve/request_phase.rs
@@ -17,7 +17,7 @@
     Connecting,
     /// It was sent over a reused connection, and no answer has come.
     #[display("silent_kept")]
-    SilentKept,
+    SilentReused,
     /// It was sent over a new connection, and no answer has come.
     #[display("silent_new")]
     SilentNew,
@@ -40,7 +40,7 @@
     pub(super) fn waiting(connection_use: Option<ConnectionUse>) -> Self {
         match connection_use {
             None => Self::Connecting,
-            Some(ConnectionUse::Kept) => Self::SilentKept,
+            Some(ConnectionUse::Reused) => Self::SilentReused,
             Some(ConnectionUse::New) => Self::SilentNew,
         }
     }
--- a/crates/gateway/src/serve/silence_detector.rs
+++ b/crates/gateway/src/serve/silence_detector.rs
@@ -7,7 +7,7 @@
 
 use super::accepted_request::AcceptedRequest;
 use super::silence_cause::SilenceCause;
-use crate::engines::ResponsePhase;
+use crate::engines::AnswerPhase;
 use crate::gateway::Gateway;
 use crate::upstream::ConnectionUse;
 
@@ -36,7 +36,7 @@
         gateway: &Gateway,
         request: &AcceptedRequest,
         engine: &BackEndName,
-        phase: ResponsePhase,
+        phase: AnswerPhase,
         since: Timestamp,
     ) -> Option<Self> {
         let state = gateway.state();
@@ -45,8 +45,8 @@
         Some(Self {
             engine: engine.clone(),
             since,
-            limit_with_later_answers: estimate.max_while_others_answered(),
-            limit_without_answers: estimate.max_without_response(),
+            limit_with_later_answers: estimate.max_with_later_answers(),
+            limit_without_answers: estimate.max_without_answers(),
         })
     }
 
@@ -72,7 +72,7 @@
             return Some(SilenceCause::Connection);
         }
         let is_overdue =
-            connection_use == Some(ConnectionUse::Kept) && silent >= self.limit_without_answers;
+            connection_use == Some(ConnectionUse::Reused) && silent >= self.limit_without_answers;
         is_overdue.then_some(SilenceCause::Engine)
     }
 
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -21,7 +21,7 @@
 use super::request_phase::RequestPhase;
 use super::silence_cause::SilenceCause;
 use super::silence_detector::SilenceDetector;
-use crate::engines::ResponsePhase;
+use crate::engines::AnswerPhase;
 use crate::placement::Placement;
 use crate::relay::{EventSplitter, RelayFault, StreamEnd};
 use crate::release::AnswerEnd;
@@ -42,7 +42,7 @@
     /// Detects silence of the engine; `None` before enough answers have been seen.
     detector: Option<SilenceDetector>,
     /// The phase of the answer that is awaited.
-    awaited: ResponsePhase,
+    awaited: AnswerPhase,
     awaited_since: Timestamp,
     /// Milliseconds from sending the request to the head of the first engine's answer.
     head_ms: u64,
@@ -70,7 +70,7 @@
     ) -> Self {
         Self {
             detector: None,
-            awaited: ResponsePhase::FirstEvent,
+            awaited: AnswerPhase::FirstEvent,
             awaited_since: Timestamp::ZERO,
             head_ms: live.time_to_head.as_millis() as u64,
             last_event_id: forwarder.request.caller.last_event_id.clone(),
@@ -88,7 +88,7 @@
 
     /// Creates the caller's answer, with the head that the first engine sent and the events as they arrive.
     pub(super) fn into_response(mut self) -> Response<AnswerBody> {
-        self.await_phase(ResponsePhase::FirstEvent);
+        self.await_phase(AnswerPhase::FirstEvent);
         let live = self.live.as_mut().expect("a new relay holds an answer");
         let (status, headers) = (live.status, std::mem::take(&mut live.headers));
         let events = unfold(self, |mut relay| async move {
@@ -187,7 +187,7 @@
     }
 
     /// Starts to wait for another phase of the answer.
-    fn await_phase(&mut self, phase: ResponsePhase) {
+    fn await_phase(&mut self, phase: AnswerPhase) {
         self.awaited = phase;
         // The connection has carried the head of the answer, so it counts as new: only answers of the engine to later
         // requests make it suspect.
@@ -224,7 +224,7 @@
                 None => return Received::End,
                 Some(Err(error)) => return Received::Broken(error.to_string()),
                 Some(Ok(frame)) => {
-                    live.note_heard(&self.forwarder.gateway);
+                    live.note_received(&self.forwarder.gateway);
                     if let Ok(bytes) = frame.into_data() {
                         return Received::Bytes(bytes);
                     }
@@ -258,7 +258,7 @@
                     "request" => &self.forwarder.request.caller.id,
                     "engine" => %live.placement.engine, "after_event" => last_event_id);
                 self.live = Some(live);
-                self.await_phase(ResponsePhase::FirstEvent);
+                self.await_phase(AnswerPhase::FirstEvent);
                 Ok(())
             }
             Ok(mut live) => {
@@ -278,16 +278,16 @@
 
     /// Records the arrival of the first event of an engine's answer.
     fn note_first_event(&mut self) {
-        if self.awaited != ResponsePhase::FirstEvent {
+        if self.awaited != AnswerPhase::FirstEvent {
             return;
         }
         let gateway = &self.forwarder.gateway;
         let took = gateway.clock().now().since(self.awaited_since);
-        self.note_time(ResponsePhase::FirstEvent, took);
-        self.await_phase(ResponsePhase::Pause);
+        self.note_time(AnswerPhase::FirstEvent, took);
+        self.await_phase(AnswerPhase::Pause);
     }
 
-    fn note_time(&self, phase: ResponsePhase, took: Duration) {
+    fn note_time(&self, phase: AnswerPhase, took: Duration) {
         let RequestForwarder {
             gateway, request, ..
         } = &self.forwarder;
@@ -339,7 +339,7 @@
         self.active.end("answered");
         if self.resume_count == 0 {
             let pause = Duration::from_millis(self.longest_pause_ms);
-            self.note_time(ResponsePhase::Pause, pause);
+            self.note_time(AnswerPhase::Pause, pause);
         }
         let Some(left_out) = gateway.sampler().admit(gateway.clock().now()) else {
             return;
--- a/crates/gateway/src/upstream/connection_use.rs
+++ b/crates/gateway/src/upstream/connection_use.rs
@@ -7,7 +7,7 @@
 pub enum ConnectionUse {
     /// It was kept after an earlier answer, so nothing proves that it still carries anything.
     #[display("kept")]
-    Kept,
+    Reused,
     /// It was opened for this request.
     #[display("new")]
     New,
--- a/crates/gateway/src/upstream/engine_sender.rs
+++ b/crates/gateway/src/upstream/engine_sender.rs
@@ -77,13 +77,13 @@
                 None => Connection::open(address, &self.settings, self.clock).await?,
             };
             used.set(Some(match is_kept {
-                true => ConnectionUse::Kept,
+                true => ConnectionUse::Reused,
                 false => ConnectionUse::New,
             }));
             let sent = connection.sender.try_send_request(request).await;
             let mut failure = match sent {
                 Ok(answer) => {
-                    self.note_heard(&connection);
+                    self.note_received(&connection);
                     let (head, body) = answer.into_parts();
                     return Ok(UpstreamAnswer {
                         head,
@@ -114,7 +114,7 @@
         mut connection: Connection,
         idle_timeout: Option<Duration>,
     ) {
-        self.note_heard(&connection);
+        self.note_received(&connection);
         if idle_timeout.is_some() {
             connection.idle_timeout = idle_timeout;
         }
@@ -123,7 +123,7 @@
     }
 
     /// A connection has carried a part of an answer.
-    pub fn note_heard(&self, connection: &Connection) {
+    pub fn note_received(&self, connection: &Connection) {
         let now = self.clock.now();
         connection.heard_at.set(now);
         self.hearings.note(connection.opened_at, now);
--- a/crates/gateway/tests/early_ends.rs
+++ b/crates/gateway/tests/early_ends.rs
@@ -12,7 +12,7 @@
 use raw_engine::{Act, After, FIRST_EVENT, NO_ROOM, PART, RawEngines, STREAM_HEAD};
 use ryerouter_core::identity::PoolName;
 use ryerouter_gateway::catalogue::RequestKind;
-use ryerouter_gateway::engines::ResponsePhase;
+use ryerouter_gateway::engines::AnswerPhase;
 use support::gateway_bench::{GatewayBench, run};
 use support::records::{POOL, engine, route, table};
 use support::test_dialect::{ID, PATIENCE_MS};
@@ -194,7 +194,7 @@
             times.note(
                 &PoolName::new(POOL),
                 "route",
-                ResponsePhase::Head,
+                AnswerPhase::Head,
                 Duration::ZERO,
             );
         }
--- a/crates/gateway/tests/silent_connections.rs
+++ b/crates/gateway/tests/silent_connections.rs
@@ -352,7 +352,7 @@
         let request = Request::new(Full::default());
         let sending = bench.upstream.send(&name, address, request, true, &used);
         let waiting = timeout(Duration::from_millis(50), sending).await;
-        assert!(waiting.is_err() && used.get() == Some(ConnectionUse::Kept));
+        assert!(waiting.is_err() && used.get() == Some(ConnectionUse::Reused));
         assert_eq!(bench.upstream.note_silent(&name, sent_at), 2);
         bench.keep_engine_connections(&name, address, 1).await;
         assert_eq!(bench.upstream.note_silent(&name, sent_at), 0);
@@ -398,8 +398,8 @@
         assert!(!younger.is_kept);
         match heard {
             Heard::Nothing => {}
-            Heard::Older => bench.upstream.note_heard(&older.connection),
-            Heard::Younger => bench.upstream.note_heard(&younger.connection),
+            Heard::Older => bench.upstream.note_received(&older.connection),
+            Heard::Younger => bench.upstream.note_received(&younger.connection),
         }
         let answer = bench.request(&name, address, is_repeatable).await;
         assert_eq!(answer.is_kept, is_kept);
@@ -445,7 +445,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         // A connection that was open as long is heard from, so that silence alone would speak
         // against them.
-        bench.upstream.note_heard(&older.connection);
+        bench.upstream.note_received(&older.connection);
         bench.keep_engine_connections(&name, other_address, 4).await;
         assert_eq!(other.accepted(), 1 + 4);
     });
--- a/crates/gateway/tests/silent_engines.rs
+++ b/crates/gateway/tests/silent_engines.rs
@@ -175,12 +175,12 @@
     }
     estimate.note(Duration::from_millis(100));
     assert!(estimate.is_ready());
-    let longest = estimate.max_while_others_answered();
+    let longest = estimate.max_with_later_answers();
     assert!(longest >= Duration::from_millis(250), "{longest:?}");
-    assert!(estimate.max_without_response() > longest);
-    let before = estimate.max_without_response();
+    assert!(estimate.max_without_answers() > longest);
+    let before = estimate.max_without_answers();
     estimate.note(Duration::from_secs(2));
-    assert!(estimate.max_without_response() > before);
+    assert!(estimate.max_without_answers() > before);
 }
 
 #[test]
