--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Starts the time spent waiting for the engine's next bytes.
+    /// Starts measuring the wait for the engine's next bytes.
     pub(super) fn begin_wait(&mut self) {
         if let Some(timing) = &mut self.timing {
             timing.begin_wait(self.gateway.clock().now());
         }
     }
 
-    /// Stops the time started by [`Self::begin_wait`]: bytes arrived, or the stream ended.
+    /// Stops the measurement started by [`Self::begin_wait`]: bytes arrived, or the stream ended.
     pub(super) fn end_wait(&mut self) {
         if let Some(timing) = &mut self.timing {
             timing.end_wait(self.gateway.clock().now());
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -25,12 +25,12 @@
 use crate::request::{AnswerFacts, AttemptHead};
 use crate::upstream::{AttemptFailure, UpstreamAnswer};
 
-/// How long an engine is avoided that has other weights than expected: it is about to load the expected ones.
+/// How long an engine that has other weights than expected is avoided: it is about to load the expected ones.
 const MISDIRECTED_BACKOFF: Duration = Duration::from_millis(300);
 /// How long a run whose answer was rejected is watched for a crash of its engine, which comes within some tens of
 /// milliseconds. A longer time would keep the engine working on a request that has been sent elsewhere.
 const CRASH_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Maximum time for reading the rest of a refusal, after which its connection is reused.
+/// Maximum time for reading the rest of a refusal. The connection is kept for reuse if the rest arrives in this time.
 const REFUSAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Sends a request to the engine of `placement` and waits for the head of a usable answer.
@@ -42,7 +42,7 @@
     progress: &RequestProgress,
 ) -> Result<LiveAnswer, AttemptError> {
     let in_flight = count_in_flight(gateway, request, placement)
-        .ok_or_else(|| AttemptError::NotConnected("engine is gone from the list".to_owned()))?;
+        .ok_or_else(|| AttemptError::NotConnected("engine is no longer listed".to_owned()))?;
     let engine_list = EngineListState::now(gateway, placement);
     engine_list.note(gateway, request, placement);
     progress.engine_list.set(engine_list);
@@ -309,7 +309,8 @@
                 engine.note_misdirected(expected, until);
             }
             AttemptError::Silent(SilenceCause::Connection) => {}
-            // The request no longer counts as load of the engine, which would look idle and attract more requests.
+            // The abandoned request no longer counts as load of the engine. Without a recorded failure, the engine would
+            // look idle and attract more requests.
             AttemptError::Silent(SilenceCause::Engine) => engine.health.failed(now),
             AttemptError::EngineError(_)
             | AttemptError::Broken(_)
--- a/crates/gateway/src/serve/engine_list_state.rs
+++ b/crates/gateway/src/serve/engine_list_state.rs
@@ -24,7 +24,8 @@
     age: Option<Duration>,
     /// Whether another node is known to have a newer list.
     is_behind: bool,
-    /// Whether the entry of the chosen engine has disappeared while the list was unreliable, and is expected to return.
+    /// Whether the chosen engine's entry disappeared from the list while the list was unreliable. The engine may still
+    /// serve requests.
     is_unlisted: bool,
 }
 
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -53,7 +53,7 @@
     is_retry_prepaid: bool,
     /// Whether the request is blocked, and runs as a trial that shows whether it still crashes its engine.
     is_trial: bool,
-    /// Engine of the last attempt, if that was given up because of silence: over a new connection it may answer.
+    /// Engine of the last attempt, if that was given up because of silence; the engine may answer over a new connection.
     silent_engine: Option<BackEndName>,
     /// Whether an engine has begun to answer.
     has_answer_begun: bool,
@@ -122,11 +122,11 @@
         last_event_id: Option<&str>,
     ) -> Result<LiveAnswer, Refusal> {
         loop {
-            // Callers send a request that crashes engines again under other ids and to other nodes, where its earlier
-            // attempts count neither against its maximum nor against the retry budget. Only the crash history that all
-            // nodes share keeps it from the next engine.
-            let is_known = self.gateway.wait_for_poison_records(&self.request).await;
-            if !is_known && self.may_have_run && self.gateway.may_be_blocked(&self.request) {
+            // When a request crashes engines, its caller retries it under other ids and at other nodes, where the
+            // earlier attempts count neither against the maximum number of attempts nor against the retry budget. Only
+            // the crash history that all nodes share prevents the request from crashing another engine.
+            let has_records = self.gateway.wait_for_poison_records(&self.request).await;
+            if !has_records && self.may_have_run && self.gateway.may_be_blocked(&self.request) {
                 return Err(self.poison_refusal(NO_ENGINE_RETRY));
             }
             let verdict = self.verdict();
@@ -179,7 +179,8 @@
         }
     }
 
-    /// Whether the request may be sent to an engine now. A trial that has started may go on until it has run.
+    /// Whether the request may be sent to an engine now. A trial that has started may continue until an attempt may have
+    /// run the request.
     fn verdict(&self) -> Verdict {
         match self.is_trial && !self.may_have_run {
             true => Verdict::Trial,
@@ -188,7 +189,7 @@
     }
 
     /// Makes an attempt, and gives it up when no answer comes for longer than usual and the request can be sent again.
-    /// When it can't, waits on, since an answer may still come.
+    /// If the request can't be sent again, keeps waiting, since an answer may still come.
     async fn attempt_until_silent(
         &self,
         placement: &Placement,
@@ -404,15 +405,15 @@
         }
         let pool = &self.request.pool;
         let detail = match self.gateway.excluded_engines(pool) {
-            Some(barred) => format!("no engine of pool '{pool}' accepts work ({barred})"),
+            Some(exclusions) => format!("no engine of pool '{pool}' accepts work ({exclusions})"),
             None => format!("no engine of pool '{pool}' accepts work"),
         };
         Refusal::new(RefusalReason::NoEngine, detail)
             .with_retry_after(self.retry_after(NO_ENGINE_RETRY))
     }
 
-    /// The refusal of a request that is sent to no further engine because engines have crashed under it. The caller
-    /// learns at once when a retry may help.
+    /// The refusal of a request that is sent to no further engine because engines have crashed under it. Unless an
+    /// attempt of this request may have run, the refusal states when a retry may help.
     fn poison_refusal(&self, retry_after: Duration) -> Refusal {
         let detail = "engines have crashed while running this request";
         if self.may_have_run {
--- a/crates/gateway/src/serve/respond.rs
+++ b/crates/gateway/src/serve/respond.rs
@@ -116,7 +116,7 @@
     let is_unserved = !refusal.status().is_client_error();
     match is_unserved {
         true => active.end_unserved(&reason),
-        // The caller's fault, or its limit: the request was not meant to reach an engine.
+        // The request is faulty or exceeds a limit, so it was never meant to reach an engine.
         false => active.end(&reason),
     }
     log_refusal(gateway, id, refusal, active.elapsed_ms());
--- a/crates/gateway/src/serve/silence_detector.rs
+++ b/crates/gateway/src/serve/silence_detector.rs
@@ -1,4 +1,4 @@
-//! Detects attempts whose silence is unlikely to be work of the engine.
+//! Detects attempts that have been silent for longer than the engine's work can explain.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::upstream::ConnectionUse;
 
 /// Interval between checks of a silence that has exceeded its first limit. Any answer of the engine may change the
-/// outcome, so the interval delays the decision by up to its length; it wakes only requests that are late.
+/// outcome. The interval delays the decision by up to its length, and only requests that are late are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Decides when silence on a connection is too long to be work of the engine, by limits that were estimated when it
-/// began; see docs/design/accounting.md.
+/// Decides when silence on a connection is too long to be explained by the engine's work, using limits that were
+/// estimated when the silence began; see docs/design/accounting.md.
 #[derive(Debug, Clone)]
 pub(super) struct SilenceDetector {
     /// The engine whose answer is awaited.
@@ -59,7 +59,7 @@
     /// Returns the suspected cause if the silence exceeds its limit.
     ///
     /// An engine that answers requests which were sent later is not stuck, so the connection is suspected. Without such
-    /// answers silence is suspicious only on a reused connection, which nothing has shown to work since it was idle.
+    /// answers, silence is suspicious only on a reused connection, which may have broken unnoticed while it was idle.
     pub(super) fn detect(
         &self,
         gateway: &Gateway,
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -35,7 +35,9 @@
     splitter: EventSplitter,
     /// Id of the last event that was forwarded to the caller.
     last_event_id: Option<String>,
+    /// Whether an event has been received from an engine.
     has_begun: bool,
+    /// How often the stream has been resumed on another engine.
     resume_count: u32,
     /// Milliseconds from the arrival of the request to the first event.
     first_event_ms: Option<u64>,
@@ -46,7 +48,7 @@
     awaited_since: Timestamp,
     /// Milliseconds from sending the request to the head of the first engine's answer.
     head_ms: u64,
-    /// Milliseconds from the arrival of the request to the latest event.
+    /// Milliseconds from the arrival of the request to the most recent event.
     last_event_ms: u64,
     /// Longest time between events, in milliseconds.
     longest_pause_ms: u64,
@@ -153,6 +155,7 @@
         received
     }
 
+    /// Calls `note` with the reporter of the current answer, if there is one.
     fn report(&mut self, note: impl FnOnce(&mut AnswerReporter)) {
         if let Some(live) = &mut self.live {
             note(&mut live.reporter);
@@ -190,7 +193,7 @@
     fn await_phase(&mut self, phase: AnswerPhase) {
         self.awaited = phase;
         // The connection has carried the head of the answer, so it counts as new: only answers of the engine to later
-        // requests make it suspect.
+        // requests make the connection suspect.
         self.forwarder
             .progress
             .connection_use
@@ -377,6 +380,7 @@
     }
 }
 
+/// Counts the tokens of the prompt by where the engine gets them; those counted as `read` must be prefilled.
 fn count_tokens(forwarder: &RequestForwarder, placement: &Placement) {
     let tokens = &forwarder.gateway.metrics().prompt_tokens;
     let fetched = placement.fetch.as_ref().map_or(0, |fetch| fetch.tokens);
