--- a/crates/gateway/src/poison/record.rs
+++ b/crates/gateway/src/poison/record.rs
@@ -11,8 +11,8 @@
 /// The crash history of a request, as it is stored.
 ///
 /// Ages count from the wall-clock time at which the record was written, since the monotonic clock of one process means
-/// nothing to another. Steps of the wall clock move a trial by seconds, and change neither the order nor the number of
-/// crashes.
+/// nothing to another. An adjustment of the wall clock shifts the restored times, so a trial may start some seconds
+/// earlier or later, but the order and the number of crashes stay the same.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The history, with ages as of the time of writing.
--- a/crates/gateway/src/poison/record_sync.rs
+++ b/crates/gateway/src/poison/record_sync.rs
@@ -19,8 +19,8 @@
 
 /// Reads the records at startup and writes what this node finds out, until dropped.
 ///
-/// Nodes have no storage of their own, and all of them may be killed at once. Without the records, each time as many
-/// engines would have to crash again before a request is blocked again.
+/// Nodes have no storage of their own, and all of them may be killed at once. Without the records, the same number of
+/// engines would have to crash again after each such restart before a request is blocked.
 pub fn sync_records(gateway: Rc<Gateway>, store: Rc<dyn PoisonStore>) -> impl Future<Output = ()> {
     gateway.expect_poison_records();
     async move {
--- a/crates/gateway/src/poison/run.rs
+++ b/crates/gateway/src/poison/run.rs
@@ -6,8 +6,8 @@
 use crate::placement::Placement;
 use crate::serve::AcceptedRequest;
 
-/// A run of a request on an engine, kept to attribute a crash of the engine to the request after that has been sent
-/// elsewhere.
+/// A run of a request on an engine. It is kept after the request has been sent elsewhere, so that a later crash of the
+/// engine can be attributed to the request.
 #[derive(Debug, Clone)]
 pub struct Run {
     /// Id of the request.
