--- a/crates/gateway/src/relay/stream_end.rs
+++ b/crates/gateway/src/relay/stream_end.rs
@@ -5,7 +5,7 @@
 /// How a relayed stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum StreamEnd {
-    /// All of it was relayed.
+    /// The whole stream was relayed.
     #[display("completed")]
     Completed,
     /// The engine's answer broke off, and no other engine could resume it.
