--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -71,14 +71,17 @@
     Excluded,
 }
 
+/// An engine that can take the request, with the cost of sending the request there.
 struct Candidate<'a> {
     engine: &'a Engine,
+    /// The prompt under the engine's weights; `None` for plain requests.
     version: Option<&'a PromptForWeights>,
     cached_tokens: u32,
     unread_tokens: u32,
     fetch: Option<KvFetch>,
     save_to: Option<SocketAddr>,
     cost: CandidateCost,
+    /// Rendezvous score; the higher one wins at equal cost.
     score: u64,
 }
 
@@ -111,7 +114,7 @@
             };
             (sample.includes(engine) || is_known()) && is_healthy(engine)
         };
-        let is_any = |engine: &Engine| {
+        let is_last_resort = |engine: &Engine| {
             unhealthy == UnhealthyEngines::LastResort && filter.admits(&engine.entry)
         };
         let best = sample
@@ -121,7 +124,7 @@
             .filter(|best| best.cost.total() < MAX_SAMPLED_COST)
             .or_else(|| self.best(request, profile, &versions, is_healthy))
             // If all engines are unhealthy, any of them is better than none.
-            .or_else(|| self.best(request, profile, &versions, is_any))?;
+            .or_else(|| self.best(request, profile, &versions, is_last_resort))?;
         Some(Placement {
             engine: best.engine.entry.name.clone(),
             incarnation: best.engine.entry.incarnation,
@@ -139,6 +142,7 @@
         })
     }
 
+    /// The allowed engine with the lowest cost.
     fn best<'b>(
         &'b self,
         request: &PlacementRequest<'_>,
@@ -167,8 +171,8 @@
     fn has_excluded_engines(&self, pool: &PoolName) -> bool {
         let mut engines = self.engines.of_pool(pool);
         engines.any(|engine| {
-            let bar = engine.condition.exclusion(self.now);
-            bar.is_some_and(|bar| bar.reason != ExclusionReason::Leaving)
+            let exclusion = engine.condition.exclusion(self.now);
+            exclusion.is_some_and(|exclusion| exclusion.reason != ExclusionReason::Leaving)
         })
     }
 
@@ -214,6 +218,7 @@
         self.topology.distance(self.zone, &engine.entry.zone)
     }
 
+    /// Whether the engine serves requests, or is due to be tried again after failures.
     fn is_healthy(&self, engine: &Engine) -> bool {
         engine.health.is_serving() || engine.health.is_due_for_probe(self.now)
     }
@@ -233,6 +238,7 @@
         }
     }
 
+    /// A candidate for a request without a prompt, or in a pool without an engine profile.
     fn plain_candidate<'b>(
         &self,
         engine: &'b Engine,
@@ -259,6 +265,8 @@
         }
     }
 
+    /// A candidate for a prompt; `None` if the engine does not serve the prompt's model, or if the request might start
+    /// on replaced weights after their deadline.
     fn model_candidate<'b>(
         &self,
         engine: &'b Engine,
--- a/crates/gateway/src/placement/chooser/costs.rs
+++ b/crates/gateway/src/placement/chooser/costs.rs
@@ -27,7 +27,7 @@
 const PROBE_COST: f64 = 0.5;
 /// Cost of an engine that is no longer in the engine list but may still serve requests.
 const UNLISTED_COST: f64 = 5.0;
-/// Share of streams that pause for too long when prefill takes exactly the longest permitted pause.
+/// Share of streams that pause for too long when prefill takes exactly as long as the longest permitted pause.
 /// The share rises roughly with the third power of the prefill time; for the measurements see
 /// docs/design/shifted.md.
 const PAUSE_RISK: f64 = 0.18;
@@ -58,8 +58,8 @@
         f64::from(missing) * self.prices.reprefill_token * risk
     }
 
-    /// Estimated upper bound on the time until the request starts on the engine; errs towards too
-    /// long.
+    /// Upper bound on the time until the request starts on the engine: twice the estimated prefill
+    /// time of its prompt and the queued ones, and at least the longest recent delay in the pool.
     pub(super) fn max_start_delay(&self, engine: &Engine, unread_tokens: u32) -> Duration {
         let queued = f64::from(engine.load().unread_tokens) + f64::from(unread_tokens);
         let estimate =
@@ -67,6 +67,8 @@
         estimate.max(self.max_recent_start_delay)
     }
 
+    /// Cost of the time until the first token: prefill of the queued prompts and this one, transfer
+    /// of the fetched KV cache, and network delay.
     pub(super) fn first_token_cost(
         &self,
         engine: &Engine,
@@ -81,7 +83,7 @@
         self.late_cost(prefill_ms + fetch_ms + self.delay_ms(engine), request)
     }
 
-    /// Cost of the network delay to an engine that is otherwise idle.
+    /// Cost of the network delay to the engine, as if nothing else delayed the first token.
     pub(super) fn delay_cost(&self, engine: &Engine, request: &PlacementRequest<'_>) -> f64 {
         self.late_cost(self.delay_ms(engine), request)
     }
@@ -162,6 +164,7 @@
         if is_stale { self.prices.stale } else { 0.0 }
     }
 
+    /// Cost of sending the request body to the engine's zone.
     pub(super) fn zone_cost(&self, engine: &Engine, request: &PlacementRequest<'_>) -> f64 {
         let price = match self.distance(engine) {
             Distance::Near => return 0.0,
@@ -172,6 +175,8 @@
         kilobytes * price
     }
 
+    /// Cost of a KV cache transfer. Includes the later prefill of tokens that the transfer displaces
+    /// from the engine's cache.
     pub(super) fn move_cost(
         &self,
         engine: &Engine,
@@ -206,10 +211,11 @@
         let occupied = f64::from(load.requests) / slots * self.prices.occupied;
         let needed = load.kv_tokens.saturating_add(prompt.prompt_tokens);
         let share = f64::from(needed) / f64::from(profile.kv_tokens.max(1));
-        let beyond = (share - self.prices.kv_high_share).max(0.0);
-        occupied + beyond * self.prices.kv_overuse
+        let excess = (share - self.prices.kv_high_share).max(0.0);
+        occupied + excess * self.prices.kv_overuse
     }
 
+    /// Surcharges for an engine that is unhealthy, unlisted or recently refused a request.
     pub(super) fn state_cost(&self, engine: &Engine) -> f64 {
         let mut cost = 0.0;
         if !engine.health.is_serving() {
--- a/crates/gateway/src/placement/chooser/sources.rs
+++ b/crates/gateway/src/placement/chooser/sources.rs
@@ -75,6 +75,8 @@
             .flatten()
     }
 
+    /// The best engine from which `engine` can fetch the prefix that ends with a part. An engine that
+    /// used the prefix recently is preferred, then the nearest one, then the one that used it last.
     pub(super) fn best_holder(
         &self,
         engine: &Engine,
@@ -135,6 +137,7 @@
         is_worthwhile.then_some(store.address)
     }
 
+    /// Whether an engine can send KV cache to another one now.
     pub(super) fn can_export_to(&self, holder: &Engine, receiver: &Engine) -> bool {
         let is_other = holder.entry.name != receiver.entry.name;
         is_other
--- a/crates/gateway/src/placement/holder_table.rs
+++ b/crates/gateway/src/placement/holder_table.rs
@@ -20,12 +20,12 @@
 struct Holder {
     engine: BackEndName,
     used_at: Timestamp,
-    /// Whether other nodes have been told of this holder.
+    /// Whether this holder has been announced to other nodes.
     is_announced: bool,
 }
 
-/// Engines that recently prefilled or fetched each prefix. The table is bounded; the least recently
-/// used prefixes are evicted first.
+/// Engines that recently prefilled or fetched each prefix, which is identified by the key of its
+/// last part. The table is bounded; the least recently used prefixes are evicted first.
 #[derive(Debug)]
 pub struct HolderTable {
     capacity: usize,
@@ -86,7 +86,7 @@
             .map(|holder| (&holder.engine, holder.used_at))
     }
 
-    /// Time at which the KV store was last known to hold the part.
+    /// Time at which the KV store was last known to hold the prefix.
     pub fn stored_at(&self, key: PartKey, store: SocketAddr) -> Option<Timestamp> {
         let store = store_holder_name(store);
         let mut holders = self.of(key);
@@ -102,8 +102,8 @@
         });
     }
 
-    /// Removes an engine from the holders of a prefix; returns `true` if other nodes have been told
-    /// that it is a holder.
+    /// Removes an engine from the holders of a prefix; returns `true` if it had been announced to
+    /// other nodes as a holder.
     pub fn forget(&mut self, key: PartKey, engine: &BackEndName) -> bool {
         let Some(holders) = self.holders.get_mut(&key) else {
             return false;
--- a/crates/gateway/src/placement/placement_prices.rs
+++ b/crates/gateway/src/placement/placement_prices.rs
@@ -22,8 +22,8 @@
     pub moved_gigabyte_across_zones: f64,
     /// A gigabyte of KV cache transferred between regions.
     pub moved_gigabyte_across_regions: f64,
-    /// Share of the fetched tokens that cause another prefill later. A fetch evicts as much of the
-    /// engine's cache, and this share of the evicted tokens is needed again. The price favours
+    /// Share of the tokens evicted by a fetch that are needed again and must be prefilled. A fetch
+    /// evicts as many tokens from the engine's cache as it adds. The price favours
     /// sending the same prefixes to the same engine, which then keeps more of them.
     pub displaced_share: f64,
     /// Probability that a prefix without a known holder is prefilled by another engine at the same
@@ -37,8 +37,8 @@
     pub remote_delay: Duration,
     /// Share of an engine's KV memory above which further use has a cost.
     pub kv_high_share: f64,
-    /// KV memory use that exceeds `kv_high_share` by the engine's whole KV memory. Smaller excesses
-    /// cost proportionally less.
+    /// Price of the KV memory in use beyond `kv_high_share`. It is multiplied by that excess as a
+    /// share of the engine's KV memory.
     pub kv_overuse: f64,
     /// An engine with all slots in use. Fewer requests cost proportionally less.
     pub occupied: f64,
--- a/crates/gateway/src/placement/prefill_split.rs
+++ b/crates/gateway/src/placement/prefill_split.rs
@@ -25,10 +25,10 @@
 /// How the engines of a pool are split between prefill-heavy and decode-heavy requests.
 ///
 /// An engine prefills a prompt in large chunks between decode steps, so a few long prompts in a row
-/// make all of its streams pause. Nodes can't spread long prompts over time, because reports of each
-/// other's choices arrive later than a prefill ends. Instead, long prompts go to other engines than
-/// streams. All nodes compute the same split from hashes of the engines' names and the demand that
-/// all nodes report. See docs/design/shifted.md.
+/// make all of its streams pause. Nodes can't spread long prompts over time, because a prefill has
+/// ended before the report of it reaches the other nodes. Instead, prefill-heavy requests are sent
+/// to other engines than decode-heavy ones. All nodes compute the same split from hashes of the
+/// engines' names and the demand that all nodes report. See docs/design/shifted.md.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PrefillSplit {
     /// In each zone, engines whose name hash is at most this value are reserved for prefill-heavy
@@ -38,7 +38,7 @@
 
 impl PrefillSplit {
     /// Splits a pool that receives `tokens_per_second` prompt tokens in prefill-heavy requests.
-    /// Returns `None` if a split gains nothing. `was_split` says whether the pool is split so far.
+    /// Returns `None` if a split gains nothing. `was_split` says whether the pool was split before.
     pub fn new(
         engines: &EngineTable,
         pool: &PoolName,
--- a/crates/gateway/src/placement/prompt_for_weights.rs
+++ b/crates/gateway/src/placement/prompt_for_weights.rs
@@ -89,7 +89,8 @@
     }
 
     /// Whether the shared prefix is so short that each zone or region prefills it for itself.
-    /// Sending the request further away would cost more, and its holders are not announced.
+    /// Sending the request further away would cost more, and the holders of such prefixes are not
+    /// announced.
     pub(super) fn is_small(&self) -> bool {
         self.shared_tokens() < MIN_SAVED_TOKENS
     }
