--- a/crates/gateway/src/engines/engine.rs
+++ b/crates/gateway/src/engines/engine.rs
@@ -166,8 +166,8 @@
     }
 
     /// Records that the engine refused a request for lack of capacity. The engine is avoided for
-    /// longer after each refusal in a row, because it may be loading weights without anybody being
-    /// able to report it.
+    /// longer after each refusal in a row, because it may be loading weights although no node could
+    /// report that.
     pub fn note_full(&mut self, now: Timestamp) {
         let doublings = self.refusals_in_a_row.min(MAX_BACKOFF_DOUBLINGS);
         self.refusals_in_a_row += 1;
@@ -220,8 +220,8 @@
     /// all other engines cost more.
     pub fn takes_work(&self, now: Timestamp) -> bool {
         let is_misdirected = self.misdirected_until.is_some_and(|until| now < until);
-        let is_willing = self.is_in_service() && !self.is_loading(now);
-        is_willing && !is_misdirected && self.condition.exclusion(now).is_none()
+        let is_available = self.is_in_service() && !self.is_loading(now);
+        is_available && !is_misdirected && self.condition.exclusion(now).is_none()
     }
 
     /// Total load on the engine.
--- a/crates/gateway/src/engines/engine_entry.rs
+++ b/crates/gateway/src/engines/engine_entry.rs
@@ -34,7 +34,7 @@
     pub state: EngineState,
     /// Version of the weights of each model that the back end serves.
     pub weights: BTreeMap<String, u64>,
-    /// Number of orders that the back end has accepted.
+    /// Number of orders to load weights that the back end has accepted.
     pub orders_taken: u64,
     /// Version of the software; empty if the back end doesn't report one.
     #[serde(default, skip_serializing_if = "String::is_empty")]
--- a/crates/gateway/src/engines/engine_table.rs
+++ b/crates/gateway/src/engines/engine_table.rs
@@ -13,7 +13,7 @@
 pub struct EngineTable {
     engines: BTreeMap<BackEndName, Engine>,
     removed: RemovedConditions,
-    /// Engines on which other processes have reported load.
+    /// Engines with a load from other processes in the last call of [`Self::set_foreign_loads`].
     loaded: Vec<BackEndName>,
     /// Incremented whenever an engine may have changed.
     generation: u64,
@@ -69,8 +69,8 @@
 
     /// Inserts or updates an engine from its list entry. Versions of weights that the engine itself
     /// has reported are kept if they are newer. If the engine has restarted, all of its former
-    /// state is dropped; requests of the former incarnation that are still counted don't count for
-    /// the new one.
+    /// state is dropped, and requests still in progress at the former incarnation don't count as
+    /// load of the new one.
     pub fn upsert(&mut self, mut entry: EngineEntry) {
         self.generation += 1;
         let Some(engine) = self.engines.get_mut(&entry.name) else {
--- a/crates/gateway/src/engines/phase_times.rs
+++ b/crates/gateway/src/engines/phase_times.rs
@@ -1,4 +1,4 @@
-//! Measured durations of the phases of engine responses.
+//! Measured durations of the phases of engines' answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// reached, all estimates are dropped and measured again.
 const MAX_ESTIMATES: usize = 1_024;
 
-/// Phase of a response that is awaited on a connection to an engine.
+/// Phase of an answer that is awaited on a connection to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AnswerPhase {
     /// From sending a request to the head of its answer.
@@ -22,7 +22,7 @@
     Pause,
 }
 
-/// Estimated durations of response phases. They are kept separately for each pool, route and phase,
+/// Estimated durations of answer phases. They are kept separately for each pool, route and phase,
 /// since model prompts and plain requests have little in common. See docs/design/accounting.md.
 #[derive(Debug, Default)]
 pub struct PhaseTimes {
--- a/crates/gateway/src/engines/removed_conditions.rs
+++ b/crates/gateway/src/engines/removed_conditions.rs
@@ -10,8 +10,8 @@
 /// Maximum number of entries; the oldest one is evicted first.
 const MAX_ENTRIES: usize = 1_024;
 
-/// State signalled by engines that are no longer listed. An entry may expire while its engine is
-/// still running.
+/// State signalled by engines that are no longer listed. An entry may be evicted while its engine
+/// is still running.
 #[derive(Debug, Default)]
 pub(super) struct RemovedConditions {
     removed: VecDeque<(BackEndName, Option<Incarnation>, Condition)>,
--- a/crates/gateway/src/engines/start_delays.rs
+++ b/crates/gateway/src/engines/start_delays.rs
@@ -20,7 +20,7 @@
 }
 
 impl StartDelays {
-    /// Records that a request of the pool started `after` this time since its arrival.
+    /// Records that the answer to a request of the pool started this long `after` its arrival.
     pub fn note(&mut self, pool: &PoolName, after: Duration, now: Timestamp) {
         if after >= self.max_recent(pool, now) {
             self.pools.insert(pool.clone(), (after, now));
--- a/crates/gateway/src/engines/time_estimate.rs
+++ b/crates/gateway/src/engines/time_estimate.rs
@@ -1,4 +1,4 @@
-//! Upper estimate of the time that a response phase takes.
+//! Upper estimate of the time that an answer phase takes.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 /// (`TCP_RTO_MIN`), and the answer to it takes a moment more.
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Number of deviations above the mean that counts as too long while the engine answers requests
-/// sent later. Response times have heavy tails; the rate of false alarms is measured in
+/// sent later. Answer times have heavy tails; the rate of false alarms is measured in
 /// docs/design/accounting.md.
 const DEVIATIONS_WITH_LATER_ANSWERS: f64 = 8.0;
 /// Number of deviations above the mean that counts as too long while the engine sends nothing at
@@ -23,7 +23,7 @@
 /// slow.
 const DEVIATIONS_WITHOUT_ANSWERS: f64 = 32.0;
 
-/// Upper estimate of the time that a response phase takes.
+/// Upper estimate of the time that an answer phase takes.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeEstimate {
     time: SmoothedTime,
