--- a/crates/gateway/src/quotas/standing.rs
+++ b/crates/gateway/src/quotas/standing.rs
@@ -3,7 +3,7 @@
 use ryerouter_core::identity::TenantName;
 use ryerouter_core::quota::{Limit, Peers, Usage};
 
-/// A tenant is near its limit from this share of the limit on.
+/// Share of its limit from which a tenant counts as near the limit.
 const NEAR_SHARE: f64 = 0.8;
 
 /// Usage of a tenant compared with its limit, as seen by one node.
--- a/crates/gateway/src/quotas/table.rs
+++ b/crates/gateway/src/quotas/table.rs
@@ -10,8 +10,8 @@
 
 /// A node reports a tenant's usage if the requested rate reaches this share of the node's equal
 /// part of the limit. The unreported usage of all nodes adds up to at most this share of the limit.
-/// The actual error is much smaller, because most unreported traffic is far from its limit, and
-/// busy tenants come in bursts that are reported.
+/// The actual error is much smaller, because most unreported tenants are far from their limits, and
+/// the traffic of busy tenants comes in bursts, which are reported.
 const MIN_REPORTED_SHARE: f64 = 0.25;
 /// Number of significant digits of reported rates. More digits would only be noise.
 const REPORTED_DIGITS: i32 = 3;
@@ -21,7 +21,7 @@
 pub struct Quotas {
     tolerance: Tolerance,
     started_at: Timestamp,
-    /// Account of each tenant, with the limit that the account is controlled by.
+    /// Account of each tenant, with the control target of the tenant's limit.
     accounts: BTreeMap<TenantName, (Limit, Account)>,
     others: HashMap<TenantKey, PeerUsage>,
     /// The other nodes, without their usage.
@@ -29,7 +29,7 @@
 }
 
 impl Quotas {
-    /// Creates a node without accounts; `now` is the start of its process.
+    /// Creates a table without accounts; `now` is the start of the process.
     pub fn new(tolerance: Tolerance, now: Timestamp) -> Self {
         Self {
             tolerance,
@@ -52,10 +52,10 @@
     ) {
         self.peers = peers;
         self.others = usages;
-        let mut kept = std::mem::take(&mut self.accounts);
+        let mut previous = std::mem::take(&mut self.accounts);
         for (tenant, limit) in tenants {
             let limit = limit.control_target(&self.tolerance);
-            let known = kept.remove(tenant).map(|(_, account)| account);
+            let known = previous.remove(tenant).map(|(_, account)| account);
             let mut account = known.unwrap_or_else(|| self.new_account(&limit, now));
             account.advance(&limit, &self.peers_of(tenant), now);
             self.accounts.insert(tenant.clone(), (limit, account));
@@ -67,12 +67,12 @@
         &mut self,
         tenant: &TenantName,
         limit: &Limit,
-        ask: &Request,
+        request: &Request,
         now: Timestamp,
     ) -> Verdict {
         let peers = self.peers_of(tenant);
         let (limit, account) = self.account(tenant, limit, now);
-        account.decide(limit, &peers, ask, now)
+        account.decide(limit, &peers, request, now)
     }
 
     /// Charges for another run of a request that was admitted before.
