--- a/crates/gateway/src/retry/retry_window.rs
+++ b/crates/gateway/src/retry/retry_window.rs
@@ -6,8 +6,8 @@
 
 use super::RetrySettings;
 
-/// Share of the budget that this process uses. The rest is a margin, because an observer's windows
-/// may begin and end at other times than this node's.
+/// Share of the budget that this process uses. The rest is a margin for measurements of the budget
+/// in windows that begin and end at other times than this node's.
 const USABLE_SHARE: f64 = 0.8;
 
 /// Share of the usable budget for attempts that have not failed; the rest is reserved for retries
