--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -42,7 +42,7 @@
     progress: &RequestProgress,
 ) -> Result<LiveAnswer, AttemptError> {
     let in_flight = count_in_flight(gateway, request, placement)
-        .ok_or_else(|| AttemptError::NotConnected("engine is no longer listed".to_owned()))?;
+        .ok_or_else(|| AttemptError::NotConnected("engine is gone from the list".to_owned()))?;
     let engine_list = EngineListState::now(gateway, placement);
     engine_list.note(gateway, request, placement);
     progress.engine_list.set(engine_list);
--- a/crates/gateway/src/serve/silence_cause.rs
+++ b/crates/gateway/src/serve/silence_cause.rs
@@ -9,6 +9,6 @@
     #[display("connection: engine answers requests that were sent later")]
     Connection,
     /// The engine, which has not answered later requests either. The silent connection is a reused one.
-    #[display("engine: no answer on a reused connection")]
+    #[display("engine: no answer on a connection kept for reuse")]
     Engine,
 }
