--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -46,7 +46,7 @@
     pub deadlines: &'a WeightsDeadlines,
     /// Longest delay with which requests of the pool started recently.
     pub max_recent_start_delay: Duration,
-    /// Weights of the cost components.
+    /// Prices of the cost components.
     pub prices: &'a PlacementPrices,
     /// Which engines of the pool are reserved for prefill-heavy requests; `None` if all engines
     /// take all requests.
