--- a/crates/gateway/src/engines/phase_times.rs
+++ b/crates/gateway/src/engines/phase_times.rs
@@ -1,4 +1,4 @@
-//! Measured durations of the phases of engine responses.
+//! Measured durations of the phases of engines' answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 /// reached, all estimates are dropped and measured again.
 const MAX_ESTIMATES: usize = 1_024;
 
-/// Phase of a response that is awaited on a connection to an engine.
+/// Phase of an answer that is awaited on a connection to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum ResponsePhase {
+pub enum AnswerPhase {
     /// From sending a request to the head of its answer.
     Head,
     /// From the head of the answer to the first event of the stream.
@@ -22,16 +22,16 @@
     Pause,
 }
 
-/// Estimated durations of response phases. They are kept separately for each pool, route and phase,
+/// Estimated durations of answer phases. They are kept separately for each pool, route and phase,
 /// since model prompts and plain requests have little in common. See docs/design/accounting.md.
 #[derive(Debug, Default)]
 pub struct PhaseTimes {
-    estimates: HashMap<(PoolName, String, ResponsePhase), TimeEstimate>,
+    estimates: HashMap<(PoolName, String, AnswerPhase), TimeEstimate>,
 }
 
 impl PhaseTimes {
     /// Records that a phase took this time, or that it was still not complete after this time.
-    pub fn note(&mut self, pool: &PoolName, route: &str, phase: ResponsePhase, took: Duration) {
+    pub fn note(&mut self, pool: &PoolName, route: &str, phase: AnswerPhase, took: Duration) {
         let key = (pool.clone(), route.to_owned(), phase);
         if self.estimates.len() >= MAX_ESTIMATES && !self.estimates.contains_key(&key) {
             self.estimates.clear();
@@ -47,7 +47,7 @@
         &self,
         pool: &PoolName,
         route: &str,
-        phase: ResponsePhase,
+        phase: AnswerPhase,
     ) -> Option<TimeEstimate> {
         let key = (pool.clone(), route.to_owned(), phase);
         let estimate = self.estimates.get(&key)?;
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -18,19 +18,19 @@
 use super::live_answer::LiveAnswer;
 use super::request_progress::RequestProgress;
 use super::silence_cause::SilenceCause;
-use crate::engines::{EngineLoad, InFlight, ResponsePhase};
+use crate::engines::{AnswerPhase, EngineLoad, InFlight};
 use crate::gateway::Gateway;
 use crate::placement::Placement;
 use crate::poison::Run;
 use crate::request::{AnswerFacts, AttemptHead};
 use crate::upstream::{AttemptFailure, UpstreamAnswer};
 
-/// How long an engine is avoided that has other weights than expected: it is about to load the expected ones.
+/// How long an engine that has other weights than expected is avoided: it is about to load the expected ones.
 const MISDIRECTED_BACKOFF: Duration = Duration::from_millis(300);
 /// How long a run whose answer was rejected is watched for a crash of its engine, which comes within some tens of
 /// milliseconds. A longer time would keep the engine working on a request that has been sent elsewhere.
 const CRASH_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Maximum time for reading the rest of a refusal, after which its connection is reused.
+/// Maximum time for reading the rest of a refusal. The connection is kept for reuse if the rest arrives in this time.
 const REFUSAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Sends a request to the engine of `placement` and waits for the head of a usable answer.
@@ -218,7 +218,7 @@
     }
     let route = &request.route.name;
     let times = &mut state.phase_times;
-    times.note(&request.pool, route, ResponsePhase::Head, time_to_head);
+    times.note(&request.pool, route, AnswerPhase::Head, time_to_head);
 }
 
 /// Records that the engine accepted the request, and the weights stated in its answer.
@@ -309,7 +309,8 @@
                 engine.note_misdirected(expected, until);
             }
             AttemptError::Silent(SilenceCause::Connection) => {}
-            // The request no longer counts as load of the engine, which would look idle and attract more requests.
+            // The abandoned request no longer counts as load of the engine. Without a recorded failure, the engine would
+            // look idle and attract more requests.
             AttemptError::Silent(SilenceCause::Engine) => engine.health.failed(now),
             AttemptError::EngineError(_)
             | AttemptError::Broken(_)
