--- a/crates/gateway/src/gateway/backpressure.rs
+++ b/crates/gateway/src/gateway/backpressure.rs
@@ -214,9 +214,9 @@
     }
 
     fn refresh_limit(&self, state: &mut GatewayState, name: &BackEndName, now: Timestamp) {
-        let place = self.sender_position(state, name, now);
+        let position = self.sender_position(state, name, now);
         let is_limited = state.engines.get_mut(name).is_some_and(|engine| {
-            engine.condition.refresh(&place, now);
+            engine.condition.refresh(&position, now);
             engine.condition.limit().is_some()
         });
         match is_limited {
@@ -236,7 +236,7 @@
     ) -> SenderPosition {
         let own = &self.settings().identity;
         let zone = state.engines.get(engine).map(|engine| &engine.entry.zone);
-        let recent = state.peers.lately_heard(now);
+        let recent = state.peers.recently_heard(now);
         let recent = recent.map(|peer| &peer.identity);
         let all: Vec<_> = recent.filter(|peer| peer.name != own.name).collect();
         let nodes = self.limit_peers(state, now).nodes.max(all.len() + 1);
@@ -313,14 +313,14 @@
         now: Timestamp,
     ) {
         for update in updates {
-            let is_same_life = |engine: &&Engine| {
+            let is_same_incarnation = |engine: &&Engine| {
                 IncarnationOrder::new(engine.entry.incarnation, update.incarnation)
                     == IncarnationOrder::Same
             };
             if state
                 .engines
                 .get(&update.engine)
-                .filter(is_same_life)
+                .filter(is_same_incarnation)
                 .is_none()
             {
                 continue;
@@ -351,8 +351,8 @@
 
 /// The part of the engines with known signals that this full update carries; each carries another.
 fn signalling_engines_in_rotation(state: &mut GatewayState) -> Vec<BackEndName> {
-    let has_seen = |engine: &&Engine| engine.condition.report().is_some();
-    let signalled = state.engines.iter().filter(has_seen);
+    let has_report = |engine: &&Engine| engine.condition.report().is_some();
+    let signalled = state.engines.iter().filter(has_report);
     let names: Vec<_> = signalled.map(|engine| engine.entry.name.clone()).collect();
     state.signal_rotation = state.signal_rotation.wrapping_add(1);
     rotating_part(&names, MAX_PER_FULL_UPDATE, state.signal_rotation)
--- a/crates/gateway/src/gateway/cache_knowledge.rs
+++ b/crates/gateway/src/gateway/cache_directory.rs
@@ -30,12 +30,12 @@
     /// cached parts.
     pub fn note_prefill_done(&self, placement: &Placement) {
         let now = self.clock().now();
-        let is_kept = self.is_same_incarnation(placement);
+        let is_same_incarnation = self.is_same_incarnation(placement);
         let mut state = self.state_mut();
         let shared = placement.keys.shared();
         // An engine that has restarted since has lost the prefixes; the store may still have them.
-        let kept = placement.keys.0.iter().filter(|_| is_kept);
-        for (key, tokens) in kept {
+        let cached = placement.keys.0.iter().filter(|_| is_same_incarnation);
+        for (key, tokens) in cached {
             let is_worth_announcing =
                 *tokens >= MIN_ANNOUNCED_TOKENS && shared.iter().any(|part| part.0 == *key);
             match is_worth_announcing {
@@ -52,16 +52,16 @@
     }
 
     /// Addresses of the KV stores that this node checks.
-    pub fn kv_stores_to_ask(&self) -> Vec<SocketAddr> {
+    pub fn kv_stores_to_check(&self) -> Vec<SocketAddr> {
         let state = self.state();
         let stores = state.table.iter().flat_map(|table| table.kv_stores());
-        let own = stores.filter(|store| self.asks_kv_store(&state, store));
+        let own = stores.filter(|store| self.checks_kv_store(&state, store));
         own.map(|store| store.address).collect()
     }
 
     /// Whether this node checks a KV store on behalf of all nodes: the first by name of the ready
     /// nodes in the store's zone does, or of all ready nodes when the zone has none.
-    fn asks_kv_store(&self, state: &GatewayState, store: &KvStoreProfile) -> bool {
+    fn checks_kv_store(&self, state: &GatewayState, store: &KvStoreProfile) -> bool {
         if state.node_state != NodeState::Ready {
             return false;
         }
@@ -79,7 +79,7 @@
 
     pub(super) fn kv_store_updates(&self, state: &GatewayState) -> Vec<KvStoreUpdate> {
         let stores = state.table.iter().flat_map(|table| table.kv_stores());
-        let own = stores.filter(|store| self.asks_kv_store(state, store));
+        let own = stores.filter(|store| self.checks_kv_store(state, store));
         own.filter_map(|store| {
             let known = state.kv_stores.state(store.address)?;
             Some(KvStoreUpdate(store.address, known))
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -8,7 +8,7 @@
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::cache_knowledge::MIN_ANNOUNCED_TOKENS;
+use super::cache_directory::MIN_ANNOUNCED_TOKENS;
 use super::{Gateway, GatewayState};
 use crate::engines::Engine;
 use crate::peers::{HolderUpdate, NodeState};
--- a/crates/gateway/src/gateway/caller_ring.rs
+++ b/crates/gateway/src/gateway/caller_ring.rs
@@ -83,19 +83,19 @@
     /// known nodes, including silent and leaving ones, which show how much capacity a ring has
     /// lost.
     pub fn of<'a>(
-        place: CallerLocation<'_>,
+        location: CallerLocation<'_>,
         nodes: &[CallerNode<'a>],
         topology: &Topology,
     ) -> (Self, Vec<CallerNode<'a>>) {
         for ring in [Self::Zone, Self::Region] {
             let known = || {
                 let nodes = nodes.iter().copied();
-                nodes.filter(|node| place.ring_contains(ring, node.zone, topology))
+                nodes.filter(|node| location.ring_contains(ring, node.zone, topology))
             };
             let ready: Vec<_> = known().filter(|node| node.is_ready).collect();
-            let left: f64 = ready.iter().map(|node| node.capacity.weight()).sum();
-            let whole: f64 = known().map(|node| node.capacity.weight()).sum();
-            if ready.len() >= MIN_READY_NODES && left >= whole * MIN_REMAINING_CAPACITY {
+            let remaining: f64 = ready.iter().map(|node| node.capacity.weight()).sum();
+            let total: f64 = known().map(|node| node.capacity.weight()).sum();
+            if ready.len() >= MIN_READY_NODES && remaining >= total * MIN_REMAINING_CAPACITY {
                 return (ring, ready);
             }
         }
--- a/crates/gateway/src/gateway/callers.rs
+++ b/crates/gateway/src/gateway/callers.rs
@@ -30,32 +30,35 @@
 
     /// Whether the configuration has been unconfirmed for too long to trust API keys.
     fn must_refuse_keys(&self, state: &GatewayState, now: Timestamp) -> bool {
-        let needs_proof = state
+        let needs_confirmation = state
             .table
             .as_ref()
             .is_some_and(|table| table.has_tenants());
-        let limit = self.settings().max_unconfirmed_age.filter(|_| needs_proof);
+        let limit = self
+            .settings()
+            .max_unconfirmed_age
+            .filter(|_| needs_confirmation);
         limit.is_some_and(|limit| !state.freshness().is_within(limit, now))
     }
 
     /// Whether neither other nodes nor the source reach this node, so that its state is outdated
     /// while other nodes go on serving.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let now = self.clock().now();
-        self.is_cut_off_at(&self.state(), now)
+        self.is_isolated_at(&self.state(), now)
     }
 
-    fn is_cut_off_at(&self, state: &GatewayState, now: Timestamp) -> bool {
+    fn is_isolated_at(&self, state: &GatewayState, now: Timestamp) -> bool {
         let settings = self.settings();
         let allowed = settings
             .max_unconfirmed_age
             .unwrap_or(settings.propagation_limit);
-        let is_proven = state
+        let is_confirmed = state
             .freshness()
             .is_within(allowed.mul_f64(ISOLATION_AGE_SHARE), now);
         let last_heard = state.peers.last_heard_at();
-        let is_silent = last_heard.is_some_and(|at| now.since(at) >= ISOLATION_SILENCE);
-        is_silent && !is_proven
+        let receives_nothing = last_heard.is_some_and(|at| now.since(at) >= ISOLATION_SILENCE);
+        receives_nothing && !is_confirmed
     }
 
     /// Addresses that a caller in `zone` should use.
@@ -66,18 +69,18 @@
     /// Addresses that a caller should use: nodes of its zone, of its region when the zone has too
     /// few ready nodes, or of all zones when the region has too few. Empty on an isolated node,
     /// which considers the others dead and would send all callers to itself.
-    pub fn addresses_for(&self, place: CallerLocation<'_>, max: usize) -> Vec<SocketAddr> {
+    pub fn addresses_for(&self, location: CallerLocation<'_>, max: usize) -> Vec<SocketAddr> {
         let now = self.clock().now();
         let is_ready = self.is_ready();
         let state = self.state();
-        if self.is_cut_off_at(&state, now) {
+        if self.is_isolated_at(&state, now) {
             return Vec::new();
         }
         let is_under_high_load = self.is_under_high_load(&state, now);
         let nodes = self.caller_nodes(&state, is_ready, now);
-        let (ring, ready) = CallerRing::of(place, &nodes, &self.settings().topology);
+        let (ring, ready) = CallerRing::of(location, &nodes, &self.settings().topology);
         let addresses = draw_addresses(&ready, max, is_under_high_load, &mut rand::rng());
-        let is_served_zone = nodes.iter().any(|node| node.zone == place.zone);
+        let is_served_zone = nodes.iter().any(|node| node.zone == location.zone);
         let (known, serving) = (nodes.len(), ready.len());
         drop(state);
         self.metrics()
@@ -85,8 +88,8 @@
             .with_label_values(&[&ring.to_string()])
             .inc();
         // Only zones with known nodes are logged, since callers may name any zone.
-        if is_served_zone && self.note_ring(place.zone, ring) {
-            info!(self.log(), "callers_sent"; "zone" => %place.zone, "ring" => %ring,
+        if is_served_zone && self.note_ring(location.zone, ring) {
+            info!(self.log(), "callers_sent"; "zone" => %location.zone, "ring" => %ring,
                 "serving" => serving, "known" => known, "named" => addresses.len(),
                 "pressed" => is_under_high_load);
         }
@@ -112,7 +115,7 @@
             .ready(now)
             .map(|peer| &peer.identity.name)
             .collect();
-        let others = state.peers.lately_heard(now).map(|peer| {
+        let others = state.peers.recently_heard(now).map(|peer| {
             let identity = &peer.identity;
             (identity, ready.contains(&identity.name))
         });
--- a/crates/gateway/src/gateway/engine_incarnations.rs
+++ b/crates/gateway/src/gateway/engine_incarnations.rs
@@ -106,12 +106,12 @@
         self.holders.forget_engine(name);
         self.peers.forget_loads_of(name);
         self.zone_traffic.forget_loads_of(name);
-        let is_of_other = |update: &HolderUpdate| update.1 != *name;
-        self.holder_updates.retain(is_of_other);
-        self.drop_updates.retain(is_of_other);
-        self.zone_updates.retain(is_of_other);
+        let concerns_other_engine = |update: &HolderUpdate| update.1 != *name;
+        self.holder_updates.retain(concerns_other_engine);
+        self.drop_updates.retain(concerns_other_engine);
+        self.zone_updates.retain(concerns_other_engine);
         self.weights_updates.retain(|update| update.engine != *name);
-        self.load_updates.retain(|update| update.engine != *name);
+        self.loading_updates.retain(|update| update.engine != *name);
     }
 
     /// Whether an update about an engine concerns another incarnation than the known one.
@@ -121,11 +121,11 @@
     pub(super) fn is_of_other_incarnation(
         &self,
         engine: &BackEndName,
-        lives: &[EngineIncarnationUpdate],
+        incarnations: &[EngineIncarnationUpdate],
         now: Timestamp,
     ) -> bool {
-        let mut named = lives.iter().filter(|life| life.0 == *engine);
-        match named.next() {
+        let mut engines = incarnations.iter().filter(|update| update.0 == *engine);
+        match engines.next() {
             Some(EngineIncarnationUpdate(_, reported)) => {
                 let known = self.engines.get(engine);
                 let known = known.and_then(|known| known.entry.incarnation);
@@ -137,8 +137,9 @@
 
     /// Removes updates about other incarnations from a message.
     pub(super) fn drop_other_incarnations(&self, message: &mut PeerMessage, now: Timestamp) {
-        let lives = std::mem::take(&mut message.lives);
-        let is_of_this = |engine: &BackEndName| !self.is_of_other_incarnation(engine, &lives, now);
+        let incarnations = std::mem::take(&mut message.lives);
+        let is_of_this =
+            |engine: &BackEndName| !self.is_of_other_incarnation(engine, &incarnations, now);
         message.holders.retain(|update| is_of_this(&update.1));
         message.dropped.retain(|update| is_of_this(&update.1));
         message.loads.retain(|update| is_of_this(&update.0));
@@ -160,11 +161,11 @@
         let held = holders.iter().copied().flatten().map(|update| &update.1);
         let loaded = loads.iter().map(|update| &update.0);
         let ordered = weights.iter().map(|update| &update.engine);
-        let named: BTreeSet<_> = held.chain(loaded).chain(ordered).collect();
-        let lives = named.into_iter().filter_map(|engine| {
+        let engines: BTreeSet<_> = held.chain(loaded).chain(ordered).collect();
+        let incarnations = engines.into_iter().filter_map(|engine| {
             let incarnation = self.incarnations.to_report(engine, now)?;
             Some(EngineIncarnationUpdate(engine.clone(), incarnation))
         });
-        lives.collect()
+        incarnations.collect()
     }
 }
--- a/crates/gateway/src/gateway/engine_weights.rs
+++ b/crates/gateway/src/gateway/engine_weights.rs
@@ -46,7 +46,7 @@
             version,
             loading_ms: None,
         };
-        self.send_load_update(&mut state, update);
+        self.send_loading_update(&mut state, update);
     }
 
     /// Records that this node is about to order an engine to load weights.
@@ -68,7 +68,7 @@
             version,
             loading_ms: Some(expected.as_millis() as u64),
         };
-        self.send_load_update(&mut state, update);
+        self.send_loading_update(&mut state, update);
     }
 
     pub(super) fn apply_weights_update(&self, update: &WeightsUpdate) {
--- a/crates/gateway/src/gateway/gateway_settings.rs
+++ b/crates/gateway/src/gateway/gateway_settings.rs
@@ -61,7 +61,7 @@
     /// then; earlier, each node would follow all of them. `None` follows none.
     pub cache_follow_delay: Option<Duration>,
     /// Maximum number of prefixes whose holders are stored.
-    pub remembered_prefixes: usize,
+    pub max_known_prefixes: usize,
     /// Bounds on releases of engine software; `None` where operators order none, and the source is
     /// then not asked for them.
     pub releases: Option<release::Settings>,
--- a/crates/gateway/src/gateway/gateway_state.rs
+++ b/crates/gateway/src/gateway/gateway_state.rs
@@ -165,7 +165,7 @@
     /// Whether loads reported by other nodes have changed since they were last summed up.
     pub foreign_loads_changed: bool,
     /// Weight loads to report to every node of a large deployment.
-    pub load_updates: Vec<WeightsUpdate>,
+    pub loading_updates: Vec<WeightsUpdate>,
     /// Weights of engines to report to other nodes.
     pub weights_updates: Vec<WeightsUpdate>,
     /// Ring of nodes that callers of each zone were last sent to.
@@ -201,7 +201,7 @@
     pub fn may_entries_return(&self, grace: Duration, now: Timestamp) -> bool {
         let disrupted_at = self.engine_list_disrupted_at;
         let is_disrupted = disrupted_at.is_some_and(|at| now.since(at) < grace);
-        is_disrupted && !self.steadiness.holds(grace, now)
+        is_disrupted && !self.steadiness.has_lasted(grace, now)
     }
 
     /// Creates the state of a process that starts at `now`.
@@ -239,7 +239,7 @@
             phase_times: PhaseTimes::default(),
             prefill_demand: PrefillDemand::default(),
             prefill_splits: HashMap::new(),
-            holders: HolderTable::new(settings.remembered_prefixes),
+            holders: HolderTable::new(settings.max_known_prefixes),
             kv_stores: KvStores::default(),
             deadlines: WeightsDeadlines::new(settings.weights_grace),
             stale_weight_starts: HashMap::new(),
@@ -274,7 +274,7 @@
             relay_rotation: 0,
             zone_traffic: ZoneTraffic::default(),
             foreign_loads_changed: false,
-            load_updates: Vec::new(),
+            loading_updates: Vec::new(),
             weights_updates: Vec::new(),
             caller_rings: BTreeMap::new(),
             requests: Meter::new(REQUEST_RATE_WINDOW, now),
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,17 +1,17 @@
 //! State of a gateway, shared by all its tasks.
 
 mod backpressure;
+mod cache_directory;
 mod cache_events;
-mod cache_knowledge;
 mod caller_ring;
 mod callers;
-mod configuration_handover;
+mod configuration_transfer;
 mod engine_incarnations;
 mod engine_weights;
 mod freshness;
 mod gateway_settings;
 mod gateway_state;
-mod list_handover;
+mod list_transfer;
 mod order_candidacy;
 mod outdated_engines;
 mod peer_messages;
@@ -20,8 +20,8 @@
 mod prefill_split;
 mod published_weights;
 mod readers;
-mod release_intake;
 mod release_orders;
+mod release_traffic;
 mod release_updates;
 mod releases;
 mod replica_freshness;
--- a/crates/gateway/src/gateway/outdated_engines.rs
+++ b/crates/gateway/src/gateway/outdated_engines.rs
@@ -12,25 +12,25 @@
     /// Generation of the engine table at the last scan.
     generation: u64,
     /// Published models and versions at the last scan.
-    named: Vec<(String, u64)>,
+    published: Vec<(String, u64)>,
     is_any: bool,
 }
 
 impl OutdatedEngines {
     /// Whether any engine that stays has older weights than published.
     pub fn is_any(&mut self, engines: &EngineTable, deadlines: &WeightsDeadlines) -> bool {
-        let named = deadlines.newest();
-        let named: Vec<_> = named
+        let published = deadlines.newest();
+        let published: Vec<_> = published
             .map(|(model, version)| (model.to_owned(), version))
             .collect();
         let generation = engines.generation();
-        if generation != self.generation || named != self.named {
-            let is_any = named
+        if generation != self.generation || published != self.published {
+            let is_any = published
                 .iter()
                 .any(|(model, newest)| has_older(engines, model, *newest));
             *self = Self {
                 generation,
-                named,
+                published,
                 is_any,
             };
         }
--- a/crates/gateway/src/gateway/peer_messages.rs
+++ b/crates/gateway/src/gateway/peer_messages.rs
@@ -13,7 +13,7 @@
 use crate::peers::{
     ConfigurationFreshness, EngineLoadUpdate, HolderUpdate, LeaseUpdate, PeerMessage, Publication,
 };
-use crate::rollout::NamedAt;
+use crate::rollout::PublicationTime;
 use crate::source::ItemKind;
 use crate::sync::Offer;
 
@@ -135,7 +135,7 @@
         let age = Duration::from_millis(reported.age_ms);
         // The datagram itself may be late; this only makes the node ask the source too early.
         let answered_at = now.before(age);
-        self.note_better_informed_peer(state, &message.from, answered_at, now);
+        self.note_fresher_peer(state, &message.from, answered_at, now);
         state.source_answered_at = state.source_answered_at.max(Some(answered_at));
         let own_version = state.table.as_ref().map(|table| table.version());
         if own_version < Some(reported.version) {
@@ -185,7 +185,7 @@
         for update in named {
             let by = now.before(Duration::from_millis(update.age_ms));
             let after = by.before(Duration::from_millis(update.doubt_ms));
-            let at = NamedAt::Between(after, by);
+            let at = PublicationTime::Between(after, by);
             let is_newest = state.deadlines.note(&update.model, update.version, at);
             if is_newest {
                 info!(self.log(), "weights_named"; "model" => &update.model,
@@ -205,9 +205,9 @@
         if is_full_update {
             let new_peers = state.new_peers.len().min(MAX_EXTRA_RECEIVERS);
             receivers.extend(state.new_peers.drain(..new_peers));
-            let unheard = state.peers.unheard_addresses();
+            let unanswered = state.peers.unanswered_addresses();
             let others = MAX_EXTRA_RECEIVERS - new_peers;
-            receivers.extend(unheard.choose_multiple(random, others));
+            receivers.extend(unanswered.choose_multiple(random, others));
             if !state.new_peers.is_empty() {
                 state.owes_full_update = true;
                 self.send_requested.notify_one();
@@ -232,7 +232,7 @@
             .partition(|address| state.peers.is_far(*address));
         let mut messages = Vec::new();
         if !far.is_empty() {
-            messages.push((message.clone().without_work(), far));
+            messages.push((message.clone().without_zone_update(), far));
         }
         messages.push((message, near));
         messages
@@ -272,7 +272,7 @@
             state.owes_full_update = true;
             self.send_requested.notify_one();
         }
-        if state.peers.should_be_told_of_size(&message) {
+        if state.peers.needs_deployment_size(&message) {
             // Until then the node acts as one of few, so this must not wait.
             let new_peer = message.from.peer_address;
             if !state.new_peers.contains(&new_peer) {
@@ -282,10 +282,10 @@
             self.send_requested.notify_one();
         }
         let zone = &self.settings().identity.zone;
-        let is_newest = state.peers.hear(&message, zone, now);
+        let is_newest = state.peers.note_message(&message, zone, now);
         if state.peers.is_large() {
             for echo in &message.echoes {
-                state.peers.hear_echo(echo, now);
+                state.peers.note_echo(echo, now);
             }
         }
         for member in &message.members {
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -28,8 +28,8 @@
 impl Gateway {
     /// Whether a request may be sent to an engine now.
     pub(crate) fn poison_verdict(&self, request: &AcceptedRequest) -> Verdict {
-        let has_none = self.state().poison.is_empty();
-        match has_none {
+        let has_no_histories = self.state().poison.is_empty();
+        match has_no_histories {
             true => Verdict::Allowed,
             false => self.poison_verdict_of(request.digest()),
         }
@@ -129,8 +129,8 @@
 
     /// Records a successful run, which shows that the request does not crash engines.
     pub(crate) fn note_successful_run(&self, request: &AcceptedRequest) {
-        let has_none = self.state().poison.is_empty();
-        if !has_none && self.clear_poison(request.digest()) {
+        let has_no_histories = self.state().poison.is_empty();
+        if !has_no_histories && self.clear_poison(request.digest()) {
             info!(self.log(), "poison_cleared"; "request" => &request.caller.id,
                 "digest" => %request.digest());
         }
@@ -144,12 +144,12 @@
             state.poison_records.note_stored(digest);
         }
         let is_new = state.poison.record_success(digest, now);
-        let is_held = state.poison_records.is_stored(digest);
+        let is_stored = state.poison_records.is_stored(digest);
         drop(state);
         if is_new {
             self.announce_poison(digest);
         }
-        if is_new && is_held {
+        if is_new && is_stored {
             self.schedule_poison_write(digest);
         }
         is_new
@@ -167,7 +167,7 @@
             poison_records,
             ..
         } = &mut *state;
-        if !steadiness.holds(lifetime, now) {
+        if !steadiness.has_lasted(lifetime, now) {
             return;
         }
         let has_survived = |crash: &Crash| {
@@ -282,17 +282,17 @@
             note_crashed_engines(state, update, now);
             let digest = update.digest;
             let history = update.history(now);
-            let was_convicted = state.poison.is_blocked(digest);
+            let was_blocked = state.poison.is_blocked(digest);
             let is_new = state.poison.merge(digest, &history, now);
             let is_blocked = state.poison.is_blocked(digest);
-            if is_new && is_blocked != was_convicted {
+            if is_new && is_blocked != was_blocked {
                 info!(self.log(), "poison_heard"; "digest" => %digest, "held_back" => is_blocked,
                     "is_recorded" => update.is_recorded);
             }
-            if was_convicted || update.is_recorded {
+            if was_blocked || update.is_recorded {
                 state.poison_records.note_stored(digest);
             }
-            if is_new && (is_blocked || was_convicted) {
+            if is_new && (is_blocked || was_blocked) {
                 self.schedule_delayed_poison_write(state, digest, now);
             }
             if update.is_recorded {
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -50,13 +50,13 @@
             ReadProgress::Unread => ReadProgress::Stale,
         };
         let now = self.clock().now();
-        let wanted_at = *self
+        let requested_at = *self
             .state_mut()
             .poison_records
             .requested_at
             .get_or_insert(now);
-        self.poison_records_wanted.notify_one();
-        let limit = wanted_at.after(RECORDS_READ_TIMEOUT);
+        self.poison_records_requested.notify_one();
+        let limit = requested_at.after(RECORDS_READ_TIMEOUT);
         let read = self.poison_records_read(wanted);
         self.clock().until(limit, read).await.is_some()
     }
@@ -74,14 +74,14 @@
     /// Whether engines have crashed under a request without a successful run since.
     fn is_suspect(&self, request: &AcceptedRequest) -> bool {
         let state = self.state();
-        let has_ends = |history: &History| !history.crashes.is_empty();
-        !state.poison.is_empty() && state.poison.get(request.digest()).is_some_and(has_ends)
+        let has_crashes = |history: &History| !history.crashes.is_empty();
+        !state.poison.is_empty() && state.poison.get(request.digest()).is_some_and(has_crashes)
     }
 
     /// Whether a request may have been blocked before this node started, judged by the crashes
     /// observed since. By the end of the discovery time the other nodes have reported the records
     /// that this node could not read.
-    pub(crate) fn may_be_held_back(&self, request: &AcceptedRequest) -> bool {
+    pub(crate) fn may_be_blocked(&self, request: &AcceptedRequest) -> bool {
         self.uptime() < PEER_DISCOVERY_TIME && self.is_suspect(request)
     }
 
@@ -99,14 +99,14 @@
             self.apply_poison_record(stored, now, time);
         }
         let mut state = self.state_mut();
-        let held_back = state.poison.blocked().count();
+        let blocked = state.poison.blocked().count();
         let records = &mut state.poison_records;
         records.read_progress = match consistency {
             Consistency::Linearizable => ReadProgress::Current,
             Consistency::Stale => ReadProgress::Stale,
         };
         records.requested_at = None;
-        info!(self.log(), "poison_records_read"; "records" => count, "held_back" => held_back,
+        info!(self.log(), "poison_records_read"; "records" => count, "held_back" => blocked,
             "is_stale" => consistency == Consistency::Stale,
             "uptime_ms" => self.uptime().as_millis() as u64);
         self.poison_records_changed.notify_waiters();
@@ -117,10 +117,10 @@
     fn apply_poison_record(&self, stored: StoredRecord, now: Timestamp, time: SystemTime) {
         let digest = stored.record.digest();
         let stored_history = stored.record.history(now, time);
-        let is_chosen = self.is_removing_records();
+        let removes_expired = self.removes_expired_records();
         let mut state = self.state_mut();
         if stored_history.is_expired(now) {
-            if is_chosen {
+            if removes_expired {
                 state
                     .poison_records
                     .schedule_removal(digest, stored.revision);
@@ -226,16 +226,16 @@
         self.poison_records_changed.notify_waiters();
     }
 
-    /// Handles a failed write; it is retried at `again_at`, or not at all if that is `None`.
-    pub(crate) fn note_poison_unwritten(
+    /// Handles a failed write; it is retried at `retry_at`, or not at all if that is `None`.
+    pub(crate) fn note_poison_write_failed(
         &self,
         digest: Digest,
         revision: Option<u64>,
-        again_at: Option<Timestamp>,
+        retry_at: Option<Timestamp>,
     ) {
         let records = &mut self.state_mut().poison_records;
         records.end_write(digest, revision);
-        if let Some(at) = again_at {
+        if let Some(at) = retry_at {
             records.schedule_write(digest, at);
         }
     }
@@ -261,11 +261,11 @@
     /// Drops requests whose last crash is long ago, and some of their records.
     pub fn expire_poison(&self) {
         let now = self.clock().now();
-        let is_chosen = self.is_removing_records();
+        let removes_expired = self.removes_expired_records();
         let mut state = self.state_mut();
         for digest in state.poison.forget(now) {
             let revision = state.poison_records.forget(digest);
-            if let Some(revision) = revision.filter(|_| is_chosen) {
+            if let Some(revision) = revision.filter(|_| removes_expired) {
                 state.poison_records.schedule_removal(digest, revision);
                 self.poison_records_due.notify_one();
             }
@@ -275,16 +275,20 @@
     /// Whether this node removes expired records this time. All nodes let a record expire at about
     /// the same time and each removal is a request to the store, so only a few nodes, chosen at
     /// random, do so.
-    fn is_removing_records(&self) -> bool {
+    fn removes_expired_records(&self) -> bool {
         let nodes = self.state().peers.known_count() + 1;
         rand::rng().random_bool((EXPECTED_REMOVING_NODES / nodes as f64).min(1.0))
     }
 }
 
 /// Cancels a scheduled write when the store already holds all that this node knows.
-pub(super) fn cancel_write_unless_newer(state: &mut GatewayState, digest: Digest, held: &History) {
+pub(super) fn cancel_write_unless_newer(
+    state: &mut GatewayState,
+    digest: Digest,
+    stored: &History,
+) {
     let own = state.poison.get(digest);
-    if own.is_none_or(|own| !own.has_updates_for(held)) {
+    if own.is_none_or(|own| !own.has_updates_for(stored)) {
         state.poison_records.cancel_write(digest);
     }
 }
--- a/crates/gateway/src/gateway/published_weights.rs
+++ b/crates/gateway/src/gateway/published_weights.rs
@@ -6,7 +6,7 @@
 use slog::info;
 
 use super::Gateway;
-use crate::rollout::NamedAt;
+use crate::rollout::PublicationTime;
 use crate::source::{ItemKind, NamedWeights};
 
 /// A watch that was open for this long was waiting for the change that it reports, and reports it
@@ -28,8 +28,8 @@
     ) {
         let now = self.clock().now();
         let at = match self.state().has_weights_list {
-            true => NamedAt::Between(self.earliest_publication(asked_at, now), now),
-            false => NamedAt::Assumed(now.before(self.settings().assumed_weights_age)),
+            true => PublicationTime::Between(self.earliest_publication(asked_at, now), now),
+            false => PublicationTime::Assumed(now.before(self.settings().assumed_weights_age)),
         };
         let mut state = self.state_mut();
         if state.deadlines.note(&named.model, named.version, at) {
--- a/crates/gateway/src/gateway/release_orders.rs
+++ b/crates/gateway/src/gateway/release_orders.rs
@@ -62,8 +62,8 @@
         let now = self.clock().now();
         let state = self.state();
         let releases = state.releases.iter();
-        let lapsed = releases.filter(|known| !known.is_granted(settings.grant_lifetime(), now));
-        lapsed.map(|known| known.grant.clone()).collect()
+        let expired = releases.filter(|known| !known.is_granted(settings.grant_lifetime(), now));
+        expired.map(|known| known.grant.clone()).collect()
     }
 
     /// Applies a grant that the source has recorded.
--- a/crates/gateway/src/gateway/release_updates.rs
+++ b/crates/gateway/src/gateway/release_updates.rs
@@ -5,7 +5,7 @@
 use ryerouter_core::Timestamp;
 use ryerouter_core::release::{Counts, Reporter};
 
-use super::release_intake::is_obsolete;
+use super::release_traffic::is_obsolete;
 use super::{Gateway, GatewayState};
 use crate::peers::{PeerMessage, ZoneUpdate};
 use crate::release::{
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -7,7 +7,7 @@
 use ryerouter_core::release::{Counts, Fleet, Grant, Order, Progress, Settings, Stage};
 use slog::info;
 
-use super::release_intake::{note_all_replaced, note_replaced};
+use super::release_traffic::{note_all_replaced, note_replaced};
 use super::{Gateway, GatewayState};
 use crate::engines::Engine;
 
@@ -17,12 +17,12 @@
     pub fn publish_grant(&self, grant: Grant) {
         let mut state = self.state_mut();
         let pool = grant.order.pool.clone();
-        let is_stage = self.apply_grant(&mut state, grant, Duration::ZERO);
-        if is_stage && state.peers.is_large() {
+        let is_new_stage = self.apply_grant(&mut state, grant, Duration::ZERO);
+        if is_new_stage && state.peers.is_large() {
             state.releases.urgent.insert(pool);
         }
         drop(state);
-        if is_stage {
+        if is_new_stage {
             self.request_peer_send();
         }
     }
@@ -40,7 +40,7 @@
         let before = before.map(|known| (known.grant.order.clone(), known.grant.stage));
         let after = (grant.order.clone(), grant.stage);
         let (share, fence, elapsed) = (grant.share, grant.fence, grant.elapsed);
-        let is_taken = state.releases.take(grant, now.before(age), now);
+        let is_accepted = state.releases.take(grant, now.before(age), now);
         // A node that has followed the release knows that all other versions have been replaced,
         // including those whose engines started recently.
         let has_followed = before
@@ -52,15 +52,15 @@
             }
             note_replaced(known, &state.engines, now);
         }
-        let is_stage = is_taken && before.as_ref() != Some(&after);
-        if is_stage {
+        let is_new_stage = is_accepted && before.as_ref() != Some(&after);
+        if is_new_stage {
             let (order, stage) = after;
             info!(self.log(), "release_known"; "pool" => %pool, "target" => order.target,
                 "stage" => %stage, "before" => before.map(|(_, stage)| stage.to_string()),
                 "share" => share, "fence" => fence, "age_ms" => age.as_millis() as u64,
                 "elapsed_ms" => elapsed.as_millis() as u64);
         }
-        is_stage
+        is_new_stage
     }
 
     /// The newest known grant of a pool, and its age.
@@ -107,7 +107,7 @@
         };
         let serving: Vec<_> = present
             .iter()
-            .filter(|each| !is_rejected(each))
+            .filter(|engine| !is_rejected(engine))
             .copied()
             .collect();
         let table = state.table.as_ref();
--- a/crates/gateway/src/gateway/replica_freshness.rs
+++ b/crates/gateway/src/gateway/replica_freshness.rs
@@ -123,7 +123,7 @@
         for reported in &message.copies {
             let replica = state.replicas.of_mut(reported.kind);
             let was_behind = replica.is_behind();
-            let is_behind = !replica.note_told(reported.changed_until, now);
+            let is_behind = !replica.note_reported_change(reported.changed_until, now);
             if replica.revision < Some(reported.changed_until) {
                 if is_behind && !was_behind {
                     info!(self.log(), "copy_behind"; "kind" => %reported.kind,
--- a/crates/gateway/src/gateway/shared.rs
+++ b/crates/gateway/src/gateway/shared.rs
@@ -24,7 +24,7 @@
 /// Minimum number of nodes assumed to share the retry budget while a new node discovers its peers.
 const MIN_PROCESSES_DURING_DISCOVERY: usize = 16;
 /// Maximum share of the grace for older weights that is given up because requests start late.
-const MAX_BEGIN_SHARE: f64 = 0.25;
+const MAX_START_DELAY_SHARE: f64 = 0.25;
 
 /// Log lines a second about requests that ended unserved: enough to show what is wrong with a
 /// failing node, without flooding the log.
@@ -51,7 +51,7 @@
     state: RefCell<GatewayState>,
     pub(super) send_requested: Notify,
     /// Notified when a request waits for the records of blocked requests.
-    pub(crate) poison_records_wanted: Notify,
+    pub(crate) poison_records_requested: Notify,
     /// Notified when a record is to be written or removed.
     pub(crate) poison_records_due: Notify,
     /// Notified when records have been read or written.
@@ -87,7 +87,7 @@
             signal_sampler: LogSampler::default(),
             dialect,
             send_requested: Notify::new(),
-            poison_records_wanted: Notify::new(),
+            poison_records_requested: Notify::new(),
             poison_records_due: Notify::new(),
             poison_records_changed: Notify::new(),
             leaving: Notify::new(),
@@ -207,7 +207,7 @@
         let state = self.state();
         let table = state.table.as_ref()?;
         let now = self.clock.now();
-        let max_begin = self.settings.weights_grace.mul_f64(MAX_BEGIN_SHARE);
+        let max_start_delay = self.settings.weights_grace.mul_f64(MAX_START_DELAY_SHARE);
         let chooser = Chooser {
             engines: &state.engines,
             holders: &state.holders,
@@ -217,7 +217,7 @@
             max_recent_start_delay: state
                 .start_delays
                 .max_recent(request.pool, now)
-                .min(max_begin),
+                .min(max_start_delay),
             prices: &self.settings.prices,
             prefill_split: state.prefill_splits.get(request.pool),
             is_large: state.peers.is_large(),
@@ -235,9 +235,9 @@
         let mut state = self.state_mut();
         let nodes = (state.peers.known_count() + 1) as f64;
         let own_capacity = self.settings.identity.capacity;
-        let times = nodes * state.peers.mean_weight(own_capacity) / own_capacity.weight();
+        let factor = nodes * state.peers.mean_weight(own_capacity) / own_capacity.weight();
         let own = std::mem::take(&mut state.stale_weight_starts);
-        let all = |(pool, count): (PoolName, u32)| (pool, f64::from(count) * times);
+        let all = |(pool, count): (PoolName, u32)| (pool, f64::from(count) * factor);
         own.into_iter().map(all).collect()
     }
 
--- a/crates/gateway/src/gateway/source_items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -16,7 +16,7 @@
 
 /// A response that takes no longer than this shows that the source was available when the request
 /// was sent: it answers within milliseconds, or some hundred when it is slow.
-const PROMPT_RESPONSE_LIMIT: Duration = Duration::from_millis(500);
+const TIMELY_RESPONSE_LIMIT: Duration = Duration::from_millis(500);
 /// Minimum number of consecutive failed requests that count as a disruption of the source.
 const MIN_DISRUPTION_FAILURES: u32 = 2;
 
@@ -182,8 +182,8 @@
     /// Records that the source answered a request that was sent at `asked_at` and might wait for
     /// `wait`.
     pub(crate) fn note_response_time(&self, asked_at: Timestamp, wait: Duration) {
-        let taken = self.clock().now().since(asked_at);
-        if taken < wait + PROMPT_RESPONSE_LIMIT {
+        let response_time = self.clock().now().since(asked_at);
+        if response_time < wait + TIMELY_RESPONSE_LIMIT {
             self.state_mut().steadiness.note(asked_at);
         }
     }
@@ -245,7 +245,7 @@
         let now = self.clock().now();
         let mut state = self.state_mut();
         // If the source answers other nodes, only this node's connection to it is impaired.
-        if !state.steadiness.holds(self.settings().entry_ttl, now) {
+        if !state.steadiness.has_lasted(self.settings().entry_ttl, now) {
             state.deadlines.extend_from(now);
         }
     }
@@ -292,9 +292,9 @@
                 "address" => %entry.address, "zone" => %entry.zone,
                 "draining" => entry.state == EngineState::Draining, "left_out" => left_out);
         }
-        let begun = |entry: &EngineEntry| (entry.incarnation, entry.software.clone());
+        let identity = |entry: &EngineEntry| (entry.incarnation, entry.software.clone());
         let known = state.engines.get(&entry.name);
-        let is_new = known.is_none_or(|known| begun(&known.entry) != begun(&entry));
+        let is_new = known.is_none_or(|known| identity(&known.entry) != identity(&entry));
         let name = entry.name.clone();
         state.engines.upsert(entry);
         if let Some(engine) = state.engines.get_mut(&name).filter(|_| is_new) {
@@ -373,8 +373,8 @@
     pub fn has_outdated_engines(&self) -> bool {
         let mut state = self.state_mut();
         let state = &mut *state;
-        let behind = &mut state.outdated_engines;
-        behind.is_any(&state.engines, &state.deadlines)
+        let outdated = &mut state.outdated_engines;
+        outdated.is_any(&state.engines, &state.deadlines)
     }
 
     /// Address of an engine.
@@ -391,9 +391,9 @@
         // Otherwise a node that starts while answers are 3 s late serves with engines that left 5 s
         // before.
         let list = state.replicas.of(ItemKind::Engines);
-        let is_old =
+        let is_catching_up =
             list.is_behind() && !list.is_behind_for(self.settings().propagation_limit, now);
-        if knows_all && !is_old && state.node_state == NodeState::Starting {
+        if knows_all && !is_catching_up && state.node_state == NodeState::Starting {
             state.node_state = NodeState::Ready;
             info!(self.log(), "ready"; "engines" => state.engines.count());
             self.send_requested.notify_one();
--- a/crates/gateway/src/gateway/source_log.rs
+++ b/crates/gateway/src/gateway/source_log.rs
@@ -27,21 +27,21 @@
 
 impl Gateway {
     /// Counts a request to the source by its outcome.
-    pub(crate) fn count_source_request(&self, kind: ItemKind, way: Query, is_answered: bool) {
-        let end = match is_answered {
+    pub(crate) fn count_source_request(&self, kind: ItemKind, query: Query, is_answered: bool) {
+        let outcome = match is_answered {
             true => "answered",
             false => "failed",
         };
-        let question = format!("{kind}_{way}_{end}");
-        let questions = &self.metrics().source_questions;
-        questions.with_label_values(&[&question]).inc();
+        let label = format!("{kind}_{query}_{outcome}");
+        let requests = &self.metrics().source_questions;
+        requests.with_label_values(&[&label]).inc();
     }
 
     /// Logs the changes in a response; called before they are applied.
     pub(crate) fn log_source_changes(
         &self,
         kind: ItemKind,
-        way: Query,
+        query: Query,
         batch: &ItemBatch,
         asked_at: Timestamp,
     ) {
@@ -51,10 +51,10 @@
         let now = self.clock().now();
         let state = self.state();
         let replica = state.replicas.of(kind);
-        let copy_age = replica.freshness.age(now);
-        info!(self.log(), "source_changes"; "kind" => %kind, "by" => %way,
+        let replica_age = replica.freshness.age(now);
+        info!(self.log(), "source_changes"; "kind" => %kind, "by" => %query,
             "changes" => batch.changes.len(), "revision" => batch.revision,
             "before" => replica.revision, "waited_ms" => now.since(asked_at).as_millis() as u64,
-            "copy_age_ms" => copy_age.map(|age| age.as_millis() as u64));
+            "copy_age_ms" => replica_age.map(|age| age.as_millis() as u64));
     }
 }
--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -65,8 +65,9 @@
         let is_new = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
         let has_parent = is_new || self.parent(&state, now).is_some();
         // Nodes that ask this one although it is not their reader could not rely on its parent.
-        let is_stand_in = state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
-        match has_parent && !is_stand_in && !state.is_order_candidate {
+        let is_substitute_reader =
+            state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
+        match has_parent && !is_substitute_reader && !state.is_order_candidate {
             true => Role::Follower,
             false => Role::Reader,
         }
@@ -113,15 +114,15 @@
     /// The node that this one catches up with. In a large deployment that is its parent; nodes of a
     /// small deployment, and nodes without a parent, ask one that is known to be ahead.
     fn sync_target(&self, state: &GatewayState, now: Timestamp) -> Option<(NodeName, SocketAddr)> {
-        let better = match self.is_lagging(state, now) {
+        let ahead = match self.is_lagging(state, now) {
             true => state.peer_ahead.as_ref(),
             false => None,
         };
-        let better = better.filter(|node| state.sync.may_ask(&node.name, now));
-        let better = better.map(|node| (node.name.clone(), node.address));
+        let ahead = ahead.filter(|node| state.sync.may_ask(&node.name, now));
+        let ahead = ahead.map(|node| (node.name.clone(), node.address));
         match state.peers.is_large() {
-            true => self.parent(state, now).or(better),
-            false => better,
+            true => self.parent(state, now).or(ahead),
+            false => ahead,
         }
     }
 
@@ -151,7 +152,7 @@
 
     /// In a large deployment, lets a node whose own replica is late ask another one whose replica
     /// was confirmed more recently. Nodes that are not late ignore such reports.
-    pub(super) fn note_better_informed_peer(
+    pub(super) fn note_fresher_peer(
         &self,
         state: &mut GatewayState,
         node: &NodeIdentity,
@@ -217,8 +218,8 @@
     /// Whether this node has seen the publication of every version after `revision`. It can only
     /// assume the age of versions that were there when it started, and assumptions must not spread.
     fn knows_weights_after(&self, state: &GatewayState, revision: Option<u64>) -> bool {
-        let begin = state.weights_seen_after;
-        begin.is_some() && revision >= begin
+        let seen_after = state.weights_seen_after;
+        seen_after.is_some() && revision >= seen_after
     }
 
     fn catch_up(
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -31,14 +31,14 @@
         let Some((tenant, limit, amount)) = limit_usage(request) else {
             return Ok(());
         };
-        let ask = Request {
+        let quota_request = Request {
             amount,
             priority: request.route.priority,
             draw: draw_of(&request.caller.id),
         };
         let now = self.clock().now();
         let mut state = self.state_mut();
-        match state.quotas.decide(tenant, &limit, &ask, now) {
+        match state.quotas.decide(tenant, &limit, &quota_request, now) {
             Verdict::Admitted => Ok(()),
             Verdict::Refused {
                 retry_after,
@@ -109,7 +109,7 @@
     pub(super) fn limit_peers(&self, state: &GatewayState, now: Timestamp) -> Peers {
         let nodes = state.peers.known_count() + 1;
         let last_heard = state.peers.last_heard_at();
-        let is_heard = last_heard.is_some_and(|at| now.since(at) < UNINFORMED_TIMEOUT);
+        let has_recent_message = last_heard.is_some_and(|at| now.since(at) < UNINFORMED_TIMEOUT);
         let is_new = self.uptime() < MIN_INFORMED_UPTIME;
         Peers {
             nodes: match last_heard {
@@ -117,7 +117,7 @@
                 _ => nodes,
             },
             silent: self.silent_nodes(state, now),
-            is_uninformed: nodes > 1 && (is_new || !is_heard),
+            is_uninformed: nodes > 1 && (is_new || !has_recent_message),
             others: PeerUsage::default(),
         }
     }
@@ -142,8 +142,8 @@
 
     /// How long isolated nodes may go on admitting requests.
     pub(super) fn silent_node_admission_time(&self) -> Duration {
-        let unproven = self.settings().max_unconfirmed_age;
-        unproven.unwrap_or(SILENT_NODE_ADMISSION_TIME)
+        let max_age = self.settings().max_unconfirmed_age;
+        max_age.unwrap_or(SILENT_NODE_ADMISSION_TIME)
     }
 
     /// Usage of tenants summed over the nodes of this zone, for the other zones.
--- a/crates/gateway/src/gateway/zone_relay.rs
+++ b/crates/gateway/src/gateway/zone_relay.rs
@@ -103,7 +103,7 @@
     pub fn next_urgent_updates(&self) -> Vec<Envelope> {
         let now = self.clock().now();
         let mut state = self.state_mut();
-        let weights = std::mem::take(&mut state.load_updates);
+        let weights = std::mem::take(&mut state.loading_updates);
         let releases = self.take_urgent_releases(&mut state, now);
         let poison = self.take_urgent_poison(&mut state, now);
         let signals = self.take_urgent_signals(&mut state, now);
@@ -153,7 +153,7 @@
             let NodeIdentity {
                 zone, peer_address, ..
             } = &peer.identity;
-            let (of_place, max) = match topology.distance(own, zone) {
+            let (relays, max) = match topology.distance(own, zone) {
                 Distance::Near => continue,
                 Distance::SameRegion => (near.entry(zone).or_default(), max),
                 Distance::Remote => {
@@ -161,16 +161,16 @@
                     (of_region, max.max(ROTATING_REMOTE_RELAYS))
                 }
             };
-            if of_place.len() < max {
-                of_place.push(*peer_address);
+            if relays.len() < max {
+                relays.push(*peer_address);
             }
         }
         // Relays of other regions take turns: one that is lost, or can't reach the others of its
         // region, causes gaps of two messages until its failure is noticed, which is less than the
         // delay that updates may have.
         for relays in remote.values_mut() {
-            let turn = state.relay_rotation % relays.len();
-            relays.rotate_left(turn);
+            let offset = state.relay_rotation % relays.len();
+            relays.rotate_left(offset);
             relays.truncate(max);
         }
         near.into_values()
@@ -239,8 +239,8 @@
             // A silent node may forward nothing, so the next node of the group has to. Urgent
             // updates can't wait until the silence is noticed.
             let first_alive = group.iter().position(|near| alive.contains(&near.name));
-            let has_spare = is_urgent && (is_own || index == 0);
-            let heads = first_alive.unwrap_or_default() + 1 + usize::from(has_spare);
+            let has_backup = is_urgent && (is_own || index == 0);
+            let heads = first_alive.unwrap_or_default() + 1 + usize::from(has_backup);
             let heads = group.iter().take(heads);
             (update, heads.map(|near| near.peer_address).collect())
         });
@@ -408,9 +408,9 @@
 
     /// Sends an update of a weight load to every node: through zones in a large deployment, in the
     /// next message to all nodes in a small one.
-    pub(super) fn send_load_update(&self, state: &mut GatewayState, update: WeightsUpdate) {
+    pub(super) fn send_loading_update(&self, state: &mut GatewayState, update: WeightsUpdate) {
         match state.peers.is_large() {
-            true => state.load_updates.push(update),
+            true => state.loading_updates.push(update),
             false => state.weights_updates.push(update),
         }
         self.request_peer_send();
--- a/crates/gateway/src/peers/peer_message.rs
+++ b/crates/gateway/src/peers/peer_message.rs
@@ -128,7 +128,7 @@
 impl PeerMessage {
     /// The same for nodes of other zones in a large deployment: of the sender's work, and of what its
     /// engines have read, they hear through the news of its zone.
-    pub fn without_work(self) -> Self {
+    pub fn without_zone_update(self) -> Self {
         Self {
             loads: Vec::new(),
             usages: Vec::new(),
--- a/crates/gateway/src/peers/peer_table.rs
+++ b/crates/gateway/src/peers/peer_table.rs
@@ -103,7 +103,12 @@
     }
 
     /// Takes who a message is from; `false` when a newer one came before it.
-    pub fn hear(&mut self, message: &PeerMessage, own_zone: &ZoneName, now: Timestamp) -> bool {
+    pub fn note_message(
+        &mut self,
+        message: &PeerMessage,
+        own_zone: &ZoneName,
+        now: Timestamp,
+    ) -> bool {
         let from = &message.from;
         self.last_heard_at = Some(now);
         self.unheard.retain(|address| *address != from.peer_address);
@@ -185,7 +190,7 @@
     }
 
     /// Whether the sender of a message does not know yet that there are many nodes.
-    pub fn should_be_told_of_size(&self, message: &PeerMessage) -> bool {
+    pub fn needs_deployment_size(&self, message: &PeerMessage) -> bool {
         self.is_settled() && message.known_nodes <= MOST_OF_FEW
     }
 
@@ -251,7 +256,7 @@
     }
 
     /// All nodes but those that were silent for long.
-    pub fn lately_heard(&self, now: Timestamp) -> impl Iterator<Item = &Peer> {
+    pub fn recently_heard(&self, now: Timestamp) -> impl Iterator<Item = &Peer> {
         let all = self.peers.values();
         all.filter(move |peer| peer.is_heard(FORGET_AFTER, now))
     }
@@ -326,7 +331,7 @@
     }
 
     /// Another node has a message of the node with this life: it was alive when it sent it.
-    pub fn hear_echo(&mut self, echo: &MessageEcho, now: Timestamp) {
+    pub fn note_echo(&mut self, echo: &MessageEcho, now: Timestamp) {
         let name = self.names.get(&echo.incarnation);
         if let Some(peer) = name.and_then(|name| self.peers.get_mut(name))
             && echo.sequence > peer.newest_sequence
@@ -337,7 +342,7 @@
     }
 
     /// Addresses where nobody answered yet.
-    pub fn unheard_addresses(&self) -> &[SocketAddr] {
+    pub fn unanswered_addresses(&self) -> &[SocketAddr] {
         &self.unheard
     }
 
--- a/crates/gateway/src/placement/kv_store_watch.rs
+++ b/crates/gateway/src/placement/kv_store_watch.rs
@@ -25,7 +25,7 @@
 pub async fn watch_kv_store(gateway: Rc<Gateway>, probe: Rc<dyn KvStoreProbe>) {
     loop {
         sleep(POLL_INTERVAL).await;
-        for address in gateway.kv_stores_to_ask() {
+        for address in gateway.kv_stores_to_check() {
             // One lost answer may be due to the network. The store is reported as down only after
             // two in a row.
             let first = probe.epoch(address).await;
--- a/crates/gateway/src/poison/record_sync.rs
+++ b/crates/gateway/src/poison/record_sync.rs
@@ -38,7 +38,7 @@
 async fn read_records(gateway: &Gateway, store: &dyn PoisonStore) {
     read_until_done(gateway, store, Consistency::Stale).await;
     while !gateway.wants_current_records() {
-        gateway.poison_records_wanted.notified().await;
+        gateway.poison_records_requested.notified().await;
     }
     read_until_done(gateway, store, Consistency::Linearizable).await;
 }
@@ -86,7 +86,7 @@
                 // A retry would read the same content.
                 warn!(gateway.log(), "poison_record_unreadable"; "digest" => %digest,
                     "revision" => revision, "error" => %error);
-                gateway.note_poison_unwritten(digest, revision, None);
+                gateway.note_poison_write_failed(digest, revision, None);
             }
             Err(error) => {
                 failures += 1;
@@ -94,7 +94,7 @@
                     "revision" => revision, "failures" => failures, "error" => %error);
                 let pause = BACKOFF.pause_after(failures);
                 let again_at = gateway.clock().now().after(pause);
-                gateway.note_poison_unwritten(digest, revision, Some(again_at));
+                gateway.note_poison_write_failed(digest, revision, Some(again_at));
                 sleep(pause).await;
             }
         }
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -21,5 +21,5 @@
 pub use rollout_driver::run_rollouts;
 pub use rollout_planner::RolloutPlanner;
 pub use rollout_settings::RolloutSettings;
-pub use weights_deadlines::{NamedAt, WeightsDeadlines};
+pub use weights_deadlines::{PublicationTime, WeightsDeadlines};
 pub use weights_order::WeightsOrder;
--- a/crates/gateway/src/rollout/weights_deadlines.rs
+++ b/crates/gateway/src/rollout/weights_deadlines.rs
@@ -10,7 +10,7 @@
 
 /// How the time at which a version was named is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum NamedAt {
+pub enum PublicationTime {
     /// It was there when this process first looked, so it was named at some time before; the
     /// earliest that matters is taken.
     Assumed(Timestamp),
@@ -21,7 +21,7 @@
     Between(Timestamp, Timestamp),
 }
 
-impl NamedAt {
+impl PublicationTime {
     /// The moment, seen or assumed.
     pub fn time(self) -> Timestamp {
         match self {
@@ -62,7 +62,7 @@
     /// Orders could not be given or heard of before this time, so every grace begins there again.
     extended_from: Option<Timestamp>,
     /// By model, the versions in rising order.
-    named: HashMap<String, Vec<(u64, NamedAt)>>,
+    named: HashMap<String, Vec<(u64, PublicationTime)>>,
 }
 
 impl WeightsDeadlines {
@@ -76,7 +76,7 @@
     }
 
     /// A version was named; `true` when it is the newest.
-    pub fn note(&mut self, model: &str, version: u64, at: NamedAt) -> bool {
+    pub fn note(&mut self, model: &str, version: u64, at: PublicationTime) -> bool {
         let named = self.named.entry(model.to_owned()).or_default();
         let newest = named.last().map_or(0, |(newest, _)| *newest);
         match named.binary_search_by_key(&version, |(known, _)| *known) {
--- a/crates/gateway/src/serve/accept.rs
+++ b/crates/gateway/src/serve/accept.rs
@@ -131,7 +131,7 @@
             let age = freshness.age(now).map_or(0, |age| age.as_millis());
             let detail = format!("configuration not confirmed current for {age} ms");
             let refusal = Refusal::new(RefusalReason::ConfigurationUnproven, detail);
-            let wait = match gateway.is_cut_off() {
+            let wait = match gateway.is_isolated() {
                 true => OTHER_NODE_RETRY,
                 false => CONFIGURATION_RETRY,
             };
--- a/crates/gateway/src/serve/request_forwarder.rs
+++ b/crates/gateway/src/serve/request_forwarder.rs
@@ -126,7 +126,7 @@
             // attempts count neither against its maximum nor against the retry budget. Only the crash history that all
             // nodes share keeps it from the next engine.
             let is_known = self.gateway.wait_for_poison_records(&self.request).await;
-            if !is_known && self.may_have_run && self.gateway.may_be_held_back(&self.request) {
+            if !is_known && self.may_have_run && self.gateway.may_be_blocked(&self.request) {
                 return Err(self.poison_refusal(NO_ENGINE_RETRY));
             }
             let verdict = self.verdict();
--- a/crates/gateway/src/source/replica.rs
+++ b/crates/gateway/src/source/replica.rs
@@ -52,7 +52,7 @@
 
     /// Another node knows that nothing has changed after `revision`; `false` when this copy lacks that
     /// change, also if it is yet to be read.
-    pub fn note_told(&mut self, revision: u64, now: Timestamp) -> bool {
+    pub fn note_reported_change(&mut self, revision: u64, now: Timestamp) -> bool {
         self.told_until = self.told_until.max(Some(revision));
         self.compare_with_told(now);
         !self.is_behind()
--- a/crates/gateway/src/source/steadiness.rs
+++ b/crates/gateway/src/source/steadiness.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether the source has not stood still in the last `span` for so long that entries lapse.
-    pub fn holds(&self, span: Duration, now: Timestamp) -> bool {
+    pub fn has_lasted(&self, span: Duration, now: Timestamp) -> bool {
         let is_recent = self
             .until
             .is_some_and(|until| now.since(until) < self.lapse);
--- a/crates/gateway/tests/beliefs.rs
+++ b/crates/gateway/tests/beliefs.rs
@@ -335,8 +335,8 @@
                 .is_some()
         };
         // One node asks for all.
-        assert!(first.kv_stores_to_ask() == [address]);
-        assert!(second.kv_stores_to_ask().is_empty());
+        assert!(first.kv_stores_to_check() == [address]);
+        assert!(second.kv_stores_to_check().is_empty());
         first.note_kv_store(KvStoreUpdate(address, KvStoreState::Up(1)));
         second.receive_peer_message(first.peer_message(false));
         assert!(is_stored(&first) && is_stored(&second));
--- a/crates/gateway/tests/callers.rs
+++ b/crates/gateway/tests/callers.rs
@@ -36,10 +36,10 @@
         assert_eq!(named_by(&gateway), 2);
         tokio::time::sleep(Duration::from_millis(1_800)).await;
         // The other is silent, but the source answered lately: this node may be all that is left.
-        assert!(!gateway.is_cut_off());
+        assert!(!gateway.is_isolated());
         assert_eq!(named_by(&gateway), 1);
         tokio::time::sleep(Duration::from_millis(400)).await;
-        assert!(gateway.is_cut_off());
+        assert!(gateway.is_isolated());
         assert_eq!(named_by(&gateway), 0);
     });
 }
@@ -57,7 +57,7 @@
             true => gateway.receive_peer_message(other.peer_message(true)),
             false => configure(&gateway, table(2, Vec::new())),
         }
-        assert!(!gateway.is_cut_off());
+        assert!(!gateway.is_isolated());
         assert!(named_by(&gateway) > 0);
     });
 }
--- a/crates/gateway/tests/dividing.rs
+++ b/crates/gateway/tests/dividing.rs
@@ -13,7 +13,7 @@
     Chooser, HolderTable, KvStores, PlacementPrices, PlacementRequest, PrefillSplit, Prompt,
     is_prefill_heavy,
 };
-use ryerouter_gateway::rollout::{NamedAt, WeightsDeadlines};
+use ryerouter_gateway::rollout::{PublicationTime, WeightsDeadlines};
 use ryerouter_gateway::topology::Topology;
 use support::gateway_bench::{configure, gateway, list_engines, run_paused};
 use support::records::{POOL, ZONE, engine, model_table, route};
@@ -187,7 +187,7 @@
 #[test]
 fn newest_weights_go_before_the_division() {
     let mut side = Side::new();
-    let named_at = NamedAt::Seen(NOW.before(Duration::from_secs(2)));
+    let named_at = PublicationTime::Seen(NOW.before(Duration::from_secs(2)));
     side.deadlines.note(MODEL, 2, named_at);
     let is_other = |engine: &&Engine| !side.prefill_split.prefills(engine);
     let other = side.engines.iter().find(is_other).unwrap();
--- a/crates/gateway/tests/engine_lives.rs
+++ b/crates/gateway/tests/engine_lives.rs
@@ -23,7 +23,7 @@
     CacheChanges, CacheFeed, CandidateCost, Cursor, PartKey, Placement, PromptKeys, watch_caches,
 };
 use ryerouter_gateway::rollout::{
-    EngineReport, NamedAt, OrderOutcome, RolloutAction, RolloutPlanner, RolloutSettings,
+    EngineReport, OrderOutcome, PublicationTime, RolloutAction, RolloutPlanner, RolloutSettings,
     WeightsDeadlines,
 };
 use ryerouter_gateway::source::{Item, ItemBatch, ItemChange, ItemKind};
@@ -138,7 +138,7 @@
         assert_eq!(engine.full_until, None);
         assert!(!engine.has_answered_request_sent_after(Timestamp::ZERO));
         assert!(state.holder_updates.is_empty() && state.drop_updates.is_empty());
-        assert!(state.weights_updates.is_empty() && state.load_updates.is_empty());
+        assert!(state.weights_updates.is_empty() && state.loading_updates.is_empty());
     });
 }
 
@@ -488,7 +488,7 @@
 fn due() -> WeightsDeadlines {
     let mut deadlines = WeightsDeadlines::new(Duration::from_secs(7));
     let named = at(0).before(Duration::from_secs(5));
-    deadlines.note(MODEL, 2, NamedAt::Seen(named));
+    deadlines.note(MODEL, 2, PublicationTime::Seen(named));
     deadlines
 }
 
--- a/crates/gateway/tests/ordering.rs
+++ b/crates/gateway/tests/ordering.rs
@@ -13,7 +13,7 @@
 use ryerouter_core::identity::{BackEndName, FencingNumber, Incarnation};
 use ryerouter_gateway::gateway::Gateway;
 use ryerouter_gateway::rollout::{
-    EngineOrders, EngineReport, NamedAt, OrderOutcome, WeightsOrder, run_rollouts,
+    EngineOrders, EngineReport, OrderOutcome, PublicationTime, WeightsOrder, run_rollouts,
 };
 use ryerouter_gateway::source::ItemKind;
 use support::gateway_bench::{configure, gateway, list_engines};
@@ -73,7 +73,7 @@
         let named = ordering.gateway.clock().now();
         let named = named.before(Duration::from_secs(6));
         let mut state = ordering.gateway.state_mut();
-        state.deadlines.note(MODEL, 2, NamedAt::Seen(named));
+        state.deadlines.note(MODEL, 2, PublicationTime::Seen(named));
         drop(state);
         ordering
     }
--- a/crates/gateway/tests/placing.rs
+++ b/crates/gateway/tests/placing.rs
@@ -16,7 +16,7 @@
     Chooser, HolderTable, KvHolder, KvStores, Placement, PlacementPrices, PlacementRequest,
     PrefillSplit, Prompt, PromptPart, store_holder_name,
 };
-use ryerouter_gateway::rollout::{NamedAt, WeightsDeadlines};
+use ryerouter_gateway::rollout::{PublicationTime, WeightsDeadlines};
 use ryerouter_gateway::topology::Topology;
 use support::records::{POOL, STORE, ZONE, engine, model_table, model_table_with_stores, route};
 use support::test_dialect::{MODEL, PART_TOKENS, prompt};
@@ -207,9 +207,11 @@
 fn engine_whose_weights_have_run_out_gets_no_request() {
     let mut world = World::new(&["a", "b"]);
     let now = world.now;
-    world
-        .deadlines
-        .note(MODEL, 2, NamedAt::Seen(now.before(Duration::from_secs(8))));
+    world.deadlines.note(
+        MODEL,
+        2,
+        PublicationTime::Seen(now.before(Duration::from_secs(8))),
+    );
     assert!(world.choose(&prompt("s,x,1")).is_none());
     let newest = BackEndName::new("b");
     world
@@ -290,7 +292,7 @@
 fn old_weights_are_left_as_long_before_their_end_as_requests_take_to_begin() {
     let mut world = World::new(&["a"]);
     let named = world.now.before(Duration::from_millis(6_000));
-    world.deadlines.note(MODEL, 2, NamedAt::Seen(named));
+    world.deadlines.note(MODEL, 2, PublicationTime::Seen(named));
     assert!(world.choose(&prompt("s,x,1")).is_some());
     world.max_recent_start_delay = Duration::from_millis(1_100);
     assert!(world.choose(&prompt("s,x,1")).is_none());
@@ -384,7 +386,9 @@
         .unwrap()
         .note_weights(MODEL, 2);
     let named_at = world.now.before(ago);
-    world.deadlines.note(MODEL, 2, NamedAt::Seen(named_at));
+    world
+        .deadlines
+        .note(MODEL, 2, PublicationTime::Seen(named_at));
     world
 }
 
--- a/crates/gateway/tests/support/gateway_bench.rs
+++ b/crates/gateway/tests/support/gateway_bench.rs
@@ -83,7 +83,7 @@
         prices: PlacementPrices::default(),
         rollout: RolloutSettings::default(),
         cache_follow_delay: Some(Duration::ZERO),
-        remembered_prefixes: 1_000,
+        max_known_prefixes: 1_000,
         releases: None,
     }
 }
--- a/crates/gateway/tests/weights.rs
+++ b/crates/gateway/tests/weights.rs
@@ -8,7 +8,7 @@
 use ryerouter_core::identity::{BackEndName, PoolName};
 use ryerouter_gateway::engines::{EngineLoad, EngineTable, StartDelays};
 use ryerouter_gateway::rollout::{
-    EngineReport, NamedAt, OrderOutcome, RolloutAction, RolloutPlanner, RolloutSettings,
+    EngineReport, OrderOutcome, PublicationTime, RolloutAction, RolloutPlanner, RolloutSettings,
     WeightsDeadlines,
 };
 use support::records::{POOL, engine};
@@ -33,24 +33,24 @@
     allowed: bool,
 ) {
     let mut deadlines = WeightsDeadlines::new(GRACE);
-    deadlines.note(MODEL, 2, NamedAt::Seen(at(1_000)));
-    deadlines.note(MODEL, 3, NamedAt::Seen(at(4_000)));
+    deadlines.note(MODEL, 2, PublicationTime::Seen(at(1_000)));
+    deadlines.note(MODEL, 3, PublicationTime::Seen(at(4_000)));
     assert_eq!(deadlines.allows(MODEL, version, at(millis)), allowed);
 }
 
 #[test]
 fn what_a_node_saw_replaces_what_another_assumed() {
     let mut deadlines = WeightsDeadlines::new(GRACE);
-    deadlines.note(MODEL, 2, NamedAt::Assumed(at(0)));
-    deadlines.note(MODEL, 2, NamedAt::Seen(at(3_000)));
-    deadlines.note(MODEL, 2, NamedAt::Assumed(at(1_000)));
+    deadlines.note(MODEL, 2, PublicationTime::Assumed(at(0)));
+    deadlines.note(MODEL, 2, PublicationTime::Seen(at(3_000)));
+    deadlines.note(MODEL, 2, PublicationTime::Assumed(at(1_000)));
     assert_eq!(deadlines.until(MODEL, 1), Some(at(3_000).after(GRACE)));
 }
 
 #[test]
 fn grace_begins_anew_after_trouble_of_the_source() {
     let mut deadlines = WeightsDeadlines::new(GRACE);
-    deadlines.note(MODEL, 2, NamedAt::Seen(at(0)));
+    deadlines.note(MODEL, 2, PublicationTime::Seen(at(0)));
     deadlines.extend_from(at(5_000));
     assert_eq!(deadlines.until(MODEL, 1), Some(at(5_000).after(GRACE)));
 }
@@ -67,7 +67,9 @@
         let mut rollout = Self::new(engines);
         let named = at(0).before(Duration::from_secs(5));
         rollout.deadlines = WeightsDeadlines::new(GRACE);
-        rollout.deadlines.note(MODEL, 2, NamedAt::Seen(named));
+        rollout
+            .deadlines
+            .note(MODEL, 2, PublicationTime::Seen(named));
         rollout
     }
 
@@ -78,7 +80,7 @@
             table.upsert(engine(&format!("e{index:02}"), address, 1));
         }
         let mut deadlines = WeightsDeadlines::new(GRACE);
-        deadlines.note(MODEL, 2, NamedAt::Seen(at(0)));
+        deadlines.note(MODEL, 2, PublicationTime::Seen(at(0)));
         Self {
             planner: RolloutPlanner::new(RolloutSettings::default()),
             engines: table,
@@ -417,7 +419,9 @@
 fn used_pool() -> Rollout {
     let mut rollout = Rollout::new(12);
     rollout.deadlines = WeightsDeadlines::new(3 * GRACE);
-    rollout.deadlines.note(MODEL, 2, NamedAt::Seen(at(0)));
+    rollout
+        .deadlines
+        .note(MODEL, 2, PublicationTime::Seen(at(0)));
     for engine in rollout.engines.iter_mut() {
         engine.foreign_load.requests = 1;
     }
