--- a/crates/gateway/src/gateway/cache_directory.rs
+++ b/crates/gateway/src/gateway/cache_directory.rs
@@ -20,7 +20,7 @@
 pub(super) const MIN_ANNOUNCED_TOKENS: u32 = 256;
 
 impl Gateway {
-    /// Records the start delay of a request: its prefill was done `after` this time.
+    /// Records the start delay of a request: the time `after` which its prefill was done.
     pub fn note_request_start(&self, pool: &PoolName, after: Duration) {
         let now = self.clock().now();
         self.state_mut().start_delays.note(pool, after, now);
--- a/crates/gateway/src/gateway/cache_events.rs
+++ b/crates/gateway/src/gateway/cache_events.rs
@@ -23,8 +23,8 @@
     /// the zone has none that is ready.
     ///
     /// None in a large deployment: a node that starts to follow an engine is sent the whole content
-    /// of its cache, which is much for the small links there, and with many nodes the followers
-    /// change often.
+    /// of its cache, which is much for the low-bandwidth links there, and with many nodes the
+    /// followers change often.
     pub fn caches_to_follow(&self) -> Vec<(BackEndName, SocketAddr)> {
         let state = self.state();
         let has_run_for = |after| self.uptime() >= after;
--- a/crates/gateway/src/gateway/caller_ring.rs
+++ b/crates/gateway/src/gateway/caller_ring.rs
@@ -15,16 +15,17 @@
 /// Minimum share of a ring's capacity that its ready nodes must have; below it the load of all the
 /// ring's callers would fall on the few nodes that are left.
 const MIN_REMAINING_CAPACITY: f64 = 0.5;
-/// Share of a node's capacity above which it names nodes in proportion to their capacity. Below it
-/// all nodes are named alike: callers then keep their connections, and every node sees an equal
-/// part of each tenant and pool, which limits and orders assume.
+/// Request rate of a node, as a share of its capacity, above which its answers select nodes with a
+/// probability proportional to their capacity. Below it each answer names all nodes: callers then
+/// keep their connections, and every node receives an equal part of the requests of each tenant and
+/// pool, which limits and orders assume.
 pub const HIGH_LOAD_SHARE: f64 = 0.5;
 /// Minimum number of addresses named to a caller when nodes differ in capacity: even when most
 /// nodes of a deployment are killed at once, one of six is nearly always alive.
 const MIN_DRAWN_NODES: usize = 6;
-/// When nodes differ in capacity, a caller is named one in this many. Callers pick one of the named
-/// addresses at random, so naming all of them would send as much to the smallest node as to the
-/// largest.
+/// When nodes differ in capacity, an answer names one of this many nodes. Callers pick one of the
+/// named addresses at random, so naming all of them would send as much to the smallest node as to
+/// the largest.
 const NODES_PER_DRAWN_NODE: usize = 4;
 
 /// A set of nodes around a caller, by distance. The nearest ring with enough ready nodes and
--- a/crates/gateway/src/gateway/callers.rs
+++ b/crates/gateway/src/gateway/callers.rs
@@ -16,8 +16,9 @@
 /// A node that has received nothing from other nodes for this time may be isolated. Five
 /// heartbeats, so that a few lost datagrams do not count.
 const ISOLATION_SILENCE: Duration = Duration::from_millis(1_500);
-/// A silent node considers itself isolated once its last confirmation of the configuration is older
-/// than this share of the allowed age; until then it may be the only node left.
+/// A node that receives nothing from other nodes considers itself isolated once its last
+/// confirmation of the configuration is older than this share of the allowed age; until then it may
+/// be the only node left.
 const ISOLATION_AGE_SHARE: f64 = 0.5;
 
 impl Gateway {
--- a/crates/gateway/src/gateway/gateway_settings.rs
+++ b/crates/gateway/src/gateway/gateway_settings.rs
@@ -49,21 +49,21 @@
     pub propagation_limit: Duration,
     /// How precisely limits of tenants are enforced.
     pub limit_tolerance: Tolerance,
-    /// The retry budget.
+    /// Settings of the retry budget.
     pub retry: RetrySettings,
-    /// Connections to engines.
+    /// Settings of connections to engines.
     pub connect: ConnectSettings,
     /// Cost weights of placement.
     pub prices: PlacementPrices,
-    /// Rollouts of weights.
+    /// Settings of rollouts of weights.
     pub rollout: RolloutSettings,
     /// Uptime after which a node follows the caches of engines, having found the other nodes by
     /// then; earlier, each node would follow all of them. `None` follows none.
     pub cache_follow_delay: Option<Duration>,
-    /// Maximum number of prefixes whose holders are stored.
+    /// Maximum number of prefixes whose holders this node records.
     pub max_known_prefixes: usize,
-    /// Bounds on releases of engine software; `None` where operators order none, and the source is
-    /// then not asked for them.
+    /// Settings of releases of engine software; `None` where operators order no releases, so that
+    /// the source is not asked for release orders.
     pub releases: Option<release::Settings>,
 }
 
--- a/crates/gateway/src/gateway/gateway_state.rs
+++ b/crates/gateway/src/gateway/gateway_state.rs
@@ -73,7 +73,7 @@
     pub is_engine_list_failing: bool,
     /// All known engines.
     pub engines: EngineTable,
-    /// Whether engines are kept whose entries were removed during a disruption of the source and
+    /// Whether `engines` holds any whose entries were removed during a disruption of the source and
     /// may return.
     pub has_unlisted_engines: bool,
     /// Cached result of whether any engine has older weights than published.
@@ -111,15 +111,18 @@
     pub poison_updates: BTreeMap<poison::Digest, u32>,
     /// State of the stored records of blocked requests.
     pub poison_records: RecordTable,
-    /// Counts full updates: each carries another part of the blocked requests.
+    /// Number of full updates built so far; selects the part of the blocked requests that the next
+    /// one carries.
     pub poison_rotation: usize,
     /// Engines that advertise a rate limit.
     pub limited_engines: BTreeSet<BackEndName>,
     /// The last engine whose share of a limit was recomputed, while others remain in this pass.
     pub last_refreshed_limit: Option<BackEndName>,
-    /// Engines with new signals to report to other nodes, and how many transmissions remain.
+    /// Engines with new backpressure signals to report to other nodes, and how many transmissions
+    /// remain.
     pub signal_updates: BTreeMap<BackEndName, u32>,
-    /// Counts full updates: each carries another part of the engines' signals.
+    /// Number of full updates built so far; selects the part of the engines' signals that the next
+    /// one carries.
     pub signal_rotation: usize,
     /// Retry budgets, by pool.
     pub retries: HashMap<PoolName, RetryWindow>,
@@ -158,15 +161,16 @@
     pub drop_updates: Vec<HolderUpdate>,
     /// Prefix holders to report to other zones.
     pub zone_updates: Vec<HolderUpdate>,
-    /// Counts updates for other zones: nodes of other regions relay them in rotation.
+    /// Number of updates built for other zones; selects the nodes of other regions that relay the
+    /// next one.
     pub relay_rotation: usize,
     /// Load and usage reported by other zones.
     pub zone_traffic: ZoneTraffic,
     /// Whether loads reported by other nodes have changed since they were last summed up.
     pub foreign_loads_changed: bool,
-    /// Weight loads to report to every node of a large deployment.
+    /// Starts and completions of weight loading, to report to every node of a large deployment.
     pub loading_updates: Vec<WeightsUpdate>,
-    /// Weights of engines to report to other nodes.
+    /// Weights that engines have loaded or are loading, to report to other nodes.
     pub weights_updates: Vec<WeightsUpdate>,
     /// Ring of nodes that callers of each zone were last sent to.
     pub caller_rings: BTreeMap<ZoneName, CallerRing>,
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,4 +1,16 @@
 //! State of a gateway, shared by all its tasks.
+//!
+//! Terms used throughout:
+//! - The *source* is the external store of the configuration, the engine list and the published
+//!   versions of weights. Each node keeps a *replica* of these.
+//! - In a *small* deployment every node sends its messages to all others and watches the source
+//!   itself. In a *large* one, messages go to a selection of nodes, the nodes of a zone catch up
+//!   with the zone's *reader*, and the readers with the first of all nodes, which watches the
+//!   source.
+//! - In a *wide* zone, which has too many nodes to message each other directly, the reader also
+//!   gathers the loads of the zone's nodes and sends them the sums.
+//! - A *full update* is a message to other nodes that also carries the member list and state that
+//!   has been known for long.
 
 mod backpressure;
 mod cache_directory;
--- a/crates/gateway/src/gateway/order_candidacy.rs
+++ b/crates/gateway/src/gateway/order_candidacy.rs
@@ -1,4 +1,4 @@
-//! Determines whether this node should give orders.
+//! Determines whether this node should give orders to engines.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/gateway/outdated_engines.rs
+++ b/crates/gateway/src/gateway/outdated_engines.rs
@@ -3,7 +3,8 @@
 use crate::engines::EngineTable;
 use crate::rollout::WeightsDeadlines;
 
-/// Whether any engine that stays has older weights than published, cached from the last lookup.
+/// Whether any engine that is not leaving has older weights than published, cached from the last
+/// lookup.
 ///
 /// This is queried many times a second, so the engines are scanned only when one of them or the
 /// published versions have changed.
@@ -17,7 +18,7 @@
 }
 
 impl OutdatedEngines {
-    /// Whether any engine that stays has older weights than published.
+    /// Whether any engine that is not leaving has older weights than published.
     pub fn is_any(&mut self, engines: &EngineTable, deadlines: &WeightsDeadlines) -> bool {
         let published = deadlines.newest();
         let published: Vec<_> = published
--- a/crates/gateway/src/gateway/peer_messages.rs
+++ b/crates/gateway/src/gateway/peer_messages.rs
@@ -50,8 +50,8 @@
         !state.holder_updates.is_empty() || !state.weights_updates.is_empty() || sends_here
     }
 
-    /// Whether a full update is due: a node has joined that knows nothing of this one, or perhaps
-    /// no node knows of it yet.
+    /// Whether a full update is due: a node has joined that may not know this one, or this node has
+    /// just started and received no message, so that no other node may know it.
     pub fn owes_full_update(&self) -> bool {
         let state = self.state();
         let is_alone = state.peers.heard_count() == 0 && self.uptime() < PEER_DISCOVERY_TIME;
@@ -133,7 +133,8 @@
         };
         let now = self.clock().now();
         let age = Duration::from_millis(reported.age_ms);
-        // The datagram itself may be late; this only makes the node ask the source too early.
+        // The datagram may have been delayed, so the source may have answered earlier than computed
+        // here; the only consequence is a request to the source that is sent too early.
         let answered_at = now.before(age);
         self.note_fresher_peer(state, &message.from, answered_at, now);
         state.source_answered_at = state.source_answered_at.max(Some(answered_at));
@@ -273,7 +274,8 @@
             self.send_requested.notify_one();
         }
         if state.peers.needs_deployment_size(&message) {
-            // Until then the node acts as one of few, so this must not wait.
+            // Until it knows the size, that node behaves as in a small deployment, so the full
+            // update is sent at once.
             let new_peer = message.from.peer_address;
             if !state.new_peers.contains(&new_peer) {
                 state.new_peers.push(new_peer);
--- a/crates/gateway/src/gateway/poison.rs
+++ b/crates/gateway/src/gateway/poison.rs
@@ -302,8 +302,8 @@
     }
 }
 
-/// Marks the engines of the reported crashes as crashed, so that requests which other nodes send to
-/// them later are not taken for the cause.
+/// Marks the engines of the reported crashes as crashed, so that other requests sent to them later
+/// are not taken for the cause.
 fn note_crashed_engines(state: &mut GatewayState, update: &PoisonUpdate, now: Timestamp) {
     for crash_update in &update.crashes {
         let crash = crash_update.crash(now);
--- a/crates/gateway/src/gateway/poison_records.rs
+++ b/crates/gateway/src/gateway/poison_records.rs
@@ -18,11 +18,11 @@
 const RECORDS_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time that a trial waits for the store to record its start.
 const RECORD_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The node that observed a crash writes it at once. Other nodes write it when they have received
-/// no report for this long that it is recorded.
+/// The node that observed a crash writes it at once. Another node writes it if no node has reported
+/// within this time that it is recorded.
 const BACKUP_WRITE_DELAY: Duration = Duration::from_secs(2);
-/// These writes are spread over this time for each known node, since all nodes miss the same
-/// report.
+/// Backup writes are spread over a period of this length times the number of known nodes, since all
+/// nodes miss the same report.
 const BACKUP_WRITE_JITTER_PER_NODE: Duration = Duration::from_millis(50);
 /// A request that is not blocked yet is recorded when no successful run has cleared it within this
 /// time.
@@ -39,9 +39,9 @@
         records.read_progress = ReadProgress::Unread;
     }
 
-    /// Waits until this node would know that a request is blocked. A request under which engines
-    /// have already crashed also waits for the records written within the last seconds. Returns
-    /// `false` when the records could not be read in time.
+    /// Waits until the records have been read that show whether a request is blocked. They may lack
+    /// those written within the last seconds, except for a request under which engines have already
+    /// crashed. Returns `false` when the records could not be read in time.
     pub(crate) async fn wait_for_poison_records(&self, request: &AcceptedRequest) -> bool {
         let wanted = match self.state().poison_records.read_progress {
             ReadProgress::Current => return true,
@@ -258,7 +258,8 @@
         }
     }
 
-    /// Drops requests whose last crash is long ago, and some of their records.
+    /// Drops requests whose last crash is long ago; removes their records as well if this node is
+    /// one of the few that do so.
     pub fn expire_poison(&self) {
         let now = self.clock().now();
         let removes_expired = self.removes_expired_records();
@@ -272,9 +273,9 @@
         }
     }
 
-    /// Whether this node removes expired records this time. All nodes let a record expire at about
-    /// the same time and each removal is a request to the store, so only a few nodes, chosen at
-    /// random, do so.
+    /// Draws whether this node removes the records that have expired now. All nodes let a record
+    /// expire at about the same time and each removal is a request to the store, so only a few
+    /// nodes, chosen at random, do so.
     fn removes_expired_records(&self) -> bool {
         let nodes = self.state().peers.known_count() + 1;
         rand::rng().random_bool((EXPECTED_REMOVING_NODES / nodes as f64).min(1.0))
--- a/crates/gateway/src/gateway/published_weights.rs
+++ b/crates/gateway/src/gateway/published_weights.rs
@@ -46,7 +46,7 @@
         let state = self.state();
         let replica = state.replicas.of(ItemKind::Weights);
         let as_of = replica.freshness.confirmed_at().max(replica.read_at);
-        // An earlier time would make no difference: older weights must be given up at once in any
+        // An earlier time would make no difference: older weights may no longer be used in any
         // case.
         let settings = self.settings();
         let earliest = now.before(settings.assumed_weights_age);
--- a/crates/gateway/src/gateway/readers.rs
+++ b/crates/gateway/src/gateway/readers.rs
@@ -11,9 +11,9 @@
 use crate::peers::{Capacity, NodeIdentity, NodeState, Peer};
 
 impl Gateway {
-    /// The node that this one catches up with: the reader of its zone, or for the reader itself the
-    /// first of all nodes. A parent always ranks before its children, so no two nodes wait for each
-    /// other.
+    /// The node that this one catches up with: the reader of its zone or, in a wide zone, one of
+    /// the secondary readers; for the reader itself, the first of all nodes. A parent always ranks
+    /// before its children, so no two nodes wait for each other.
     pub(super) fn parent(
         &self,
         state: &GatewayState,
@@ -28,13 +28,13 @@
     }
 
     /// The node that this one asks in place of the reader of a wide zone: one of the secondary
-    /// readers, which are the next nodes in reading order after the reader. There are about as many
-    /// of them as nodes that each answers. `None` for the reader and the secondary readers
-    /// themselves.
+    /// readers, which are the next nodes in reading order after the reader. Their number is the
+    /// square root of the number of nodes, so that each of them answers about as many nodes as
+    /// there are secondary readers. `None` for the reader and the secondary readers themselves.
     ///
     /// While many engines start, a thousand and more are listed a second. A single node sending
-    /// these to two hundred others needs 80 Mbit/s and more (computed, 50 bytes each), and fell
-    /// silent.
+    /// these to two hundred others needs 80 Mbit/s and more (computed, 50 bytes each), and stopped
+    /// answering.
     fn secondary_reader(
         &self,
         state: &GatewayState,
--- a/crates/gateway/src/gateway/release_traffic.rs
+++ b/crates/gateway/src/gateway/release_traffic.rs
@@ -1,4 +1,5 @@
-//! Determines which engines take which requests during a release; see docs/design/releases.md.
+//! Determines which engines take which requests during a release, and judges their responses; see
+//! docs/design/releases.md.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -35,7 +36,8 @@
         gate.admission(pool, id, tried)
     }
 
-    /// The engines that take the requests of a pool as a whole, leaving aside the share of a trial.
+    /// The engines that make up a pool's capacity: all but those of versions that get none or few of
+    /// its requests, such as the target version during a trial.
     pub(super) fn pool_filter(
         &self,
         state: &GatewayState,
@@ -118,8 +120,8 @@
         })
     }
 
-    /// Judges a finished response. One of the present version also updates the expected response
-    /// times.
+    /// Judges a finished response. A response of the present version, which the release is to
+    /// replace, also updates the expected response times.
     pub fn note_release_answer(&self, timing: &AnswerTiming, end: AnswerEnd) {
         let now = self.clock().now();
         let mut state = self.state_mut();
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -89,7 +89,8 @@
         known.map(|known| known.total(is_large)).unwrap_or_default()
     }
 
-    /// The engines of a release.
+    /// Numbers of usable engines of the target version and of the other versions, and the load that
+    /// remains at the latter, by which the director decides about a release.
     pub fn release_fleet(&self, order: &Order) -> Fleet {
         let now = self.clock().now();
         let state = self.state();
--- a/crates/gateway/src/gateway/replica_freshness.rs
+++ b/crates/gateway/src/gateway/replica_freshness.rs
@@ -15,9 +15,9 @@
 
 /// Kinds whose replicas are confirmed in this way; the configuration has a check of its own.
 const CHECKED_KINDS: [ItemKind; 2] = [ItemKind::Engines, ItemKind::Weights];
-/// The first node asks when its confirmation is older than this share of the propagation limit.
-/// Including the time to ask and to report to the others, a change that a watch has missed is known
-/// to all nodes within three quarters of that limit.
+/// The first node, see `is_first_checker`, asks when its confirmation is older than this share of
+/// the propagation limit. Including the time to ask and to report to the others, a change that a
+/// watch has missed is known to all nodes within three quarters of that limit.
 const FIRST_CHECK_SHARE: f64 = 0.35;
 /// The other nodes ask in its place when their confirmation is older than this share, which leaves
 /// the first node time to ask and to report.
@@ -115,8 +115,8 @@
         CHECKED_KINDS.into_iter().filter_map(freshness).collect()
     }
 
-    /// Applies what another node reports of its replicas: it confirms this node's as well, or shows
-    /// that they lack a change.
+    /// Applies what another node reports of its replicas, which either confirms this node's
+    /// replicas as well or shows that they lack a change.
     pub(super) fn apply_replica_freshness(&self, state: &mut GatewayState, message: &PeerMessage) {
         let now = self.clock().now();
         let sent_at = self.echoed_message_sent_at(state, message);
--- a/crates/gateway/src/gateway/shared.rs
+++ b/crates/gateway/src/gateway/shared.rs
@@ -23,15 +23,16 @@
 pub(crate) const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 /// Minimum number of nodes assumed to share the retry budget while a new node discovers its peers.
 const MIN_PROCESSES_DURING_DISCOVERY: usize = 16;
-/// Maximum share of the grace for older weights that is given up because requests start late.
+/// Engines with older weights are avoided earlier by the longest recent start delay of requests,
+/// but by no more than this share of the grace for older weights.
 const MAX_START_DELAY_SHARE: f64 = 0.25;
 
-/// Log lines a second about requests that ended unserved: enough to show what is wrong with a
-/// failing node, without flooding the log.
+/// Maximum number of log lines a second about requests that ended unserved: enough to show what is
+/// wrong with a failing node, without flooding the log.
 const UNSERVED_LINES_PER_SECOND: u32 = 50;
 
-/// Log lines a second about entries of the engine list: enough to follow single engines, while a
-/// list of ten thousand is logged by its length.
+/// Maximum number of log lines a second about entries of the engine list: enough to follow single
+/// engines, while a list of ten thousand is logged by its length.
 const ENGINE_LINES_PER_SECOND: u32 = 20;
 
 /// Everything that the tasks of a gateway share.
--- a/crates/gateway/src/gateway/source_items.rs
+++ b/crates/gateway/src/gateway/source_items.rs
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Records an answer of the source. If it confirms the replica, `confirmed_at` is when that was
-    /// current.
+    /// Records an answer of the source. `confirmed_at` is the time at which the replica was
+    /// current, if the answer confirms it.
     fn note_source_answer(&self, kind: ItemKind, confirmed_at: Option<Timestamp>) {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -179,8 +179,8 @@
         self.update_readiness();
     }
 
-    /// Records that the source answered a request that was sent at `asked_at` and might wait for
-    /// `wait`.
+    /// Records that the source answered a request that was sent at `asked_at` and that the source
+    /// was allowed to hold open for `wait`.
     pub(crate) fn note_response_time(&self, asked_at: Timestamp, wait: Duration) {
         let response_time = self.clock().now().since(asked_at);
         if response_time < wait + TIMELY_RESPONSE_LIMIT {
@@ -369,7 +369,7 @@
         }
     }
 
-    /// Whether any engine that stays has older weights than published.
+    /// Whether any engine that is not leaving has older weights than published.
     pub fn has_outdated_engines(&self) -> bool {
         let mut state = self.state_mut();
         let state = &mut *state;
@@ -387,9 +387,9 @@
         let now = self.clock().now();
         let mut state = self.state_mut();
         let knows_all = state.table.is_some() && state.has_engine_list;
-        // A list that arrived late is first completed by the node that knows more, if it answers.
-        // Otherwise a node that starts while answers are 3 s late serves with engines that left 5 s
-        // before.
+        // A list that arrived late is first updated from a node with a newer one, if that node
+        // answers. Without this, a node that starts while the source answers 3 s late sends
+        // requests to engines that left 5 s before.
         let list = state.replicas.of(ItemKind::Engines);
         let is_catching_up =
             list.is_behind() && !list.is_behind_for(self.settings().propagation_limit, now);
--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -20,15 +20,16 @@
 /// fills a datagram. Where more engines change at once, the whole list is transferred.
 const MAX_GROUPED_CHANGES: usize = 1_000;
 /// In a small deployment each node watches the source itself, and changes reach all nodes within
-/// milliseconds. A node that another one reports a change to waits for its own watch for this time,
-/// then asks the reporting node. Where the source answers one of seven nodes 1.6 s late, that node
-/// learns of the second of two consecutive changes in under 2 s; without asking it took 2.9 s
+/// milliseconds. A node to which another one has reported a change waits this long for its own
+/// watch, then asks the reporting node. If the source answers one of seven nodes 1.6 s late, that
+/// node learns of the second of two consecutive changes in under 2 s; without asking it took 2.9 s
 /// (virtual clock, maximum of four runs).
 const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// In a large deployment a replica older than this share of the propagation limit is late: two
-/// watches, three questions and their answers together take less. A reader among twelve nodes that
-/// the source answers 3 s late then asks another node and learns of changes in under 2 s; without
-/// asking it had missed two consecutive changes after 20 s (virtual clock, maximum of four runs).
+/// In a large deployment a replica counts as late when it is older than this share of the
+/// propagation limit: two watches, three questions and their answers together take less. A reader
+/// with a late replica asks another node. One of twelve nodes, answered 3 s late by the source,
+/// thereby learned of changes in under 2 s; without asking it still lacked two consecutive changes
+/// after 20 s (virtual clock, maximum of four runs).
 const LATE_REPLICA_SHARE: f64 = 0.5;
 /// Minimum lead of another node's confirmation over this node's to justify a question.
 const MIN_FRESHNESS_LEAD: Duration = Duration::from_millis(200);
@@ -64,7 +65,8 @@
         }
         let is_new = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
         let has_parent = is_new || self.parent(&state, now).is_some();
-        // Nodes that ask this one although it is not their reader could not rely on its parent.
+        // Nodes that ask this one although it is not the reader of its zone may have found the
+        // reader silent or outdated, so this node must not depend on it either.
         let is_substitute_reader =
             state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
         match has_parent && !is_substitute_reader && !state.is_order_candidate {
@@ -80,9 +82,9 @@
         state.peers.is_large() && self.reader(&state, now).is_none()
     }
 
-    /// Whether this node sends questions twice as often: as the reader of its zone, as a node of a
-    /// small deployment, which asks only while it is behind, or in a wide zone, where answers have
-    /// passed through one more node.
+    /// Whether this node sends questions twice as often as others. The reader of a zone does; so do
+    /// nodes of a small deployment, which ask only while they are behind, and nodes of a wide zone,
+    /// where answers have passed through one more node.
     pub fn asks_often(&self) -> bool {
         let is_small_or_wide = {
             let state = self.state();
@@ -126,9 +128,10 @@
         }
     }
 
-    /// Whether the source reports changes to this node later than to others. In a small deployment
-    /// nodes confirm each other's replicas; in a large one every replica is confirmed within the
-    /// time that readers need.
+    /// Whether this node receives changes from the source later than others. In a small deployment,
+    /// where nodes confirm each other's replicas, it does if another node has had a newer replica
+    /// for `OWN_WATCH_TIMEOUT`. In a large one it does if its engine list has not been confirmed
+    /// within the time that readers normally need.
     fn is_lagging(&self, state: &GatewayState, now: Timestamp) -> bool {
         if self.wants_list(state, now) {
             return true;
@@ -216,12 +219,16 @@
     }
 
     /// Whether this node has seen the publication of every version after `revision`. It can only
-    /// assume the age of versions that were there when it started, and assumptions must not spread.
+    /// assume the age of versions that were published before it started, and must not report
+    /// assumed ages to other nodes.
     fn knows_weights_after(&self, state: &GatewayState, revision: Option<u64>) -> bool {
         let seen_after = state.weights_seen_after;
         seen_after.is_some() && revision >= seen_after
     }
 
+    /// Changes of the engine list since the revision that the asking node has, and the revision
+    /// that they lead to; `None` if the change log does not reach back that far or the next changes
+    /// exceed `max`.
     fn catch_up(
         &self,
         state: &GatewayState,
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -21,8 +21,7 @@
 const MIN_INFORMED_UPTIME: Duration = Duration::from_millis(1_500);
 /// Minimum number of nodes assumed while a node has heard from no other, though others may exist.
 const ASSUMED_NODES_WHILE_ALONE: usize = 16;
-/// How long silent nodes may go on admitting requests where no maximum age of the configuration's
-/// confirmation ends that.
+/// How long a silent node is assumed to admit requests when `max_unconfirmed_age` sets no bound.
 const SILENT_NODE_ADMISSION_TIME: Duration = Duration::from_secs(30);
 
 impl Gateway {
@@ -128,7 +127,8 @@
         self.silent_nodes_within(state, self.silent_node_admission_time(), now)
     }
 
-    /// Number of silent nodes; those of this zone count if they were heard from within this time.
+    /// Number of silent nodes that were heard from within `within`: as counted by this node, or the
+    /// sum of the counts of all zones if that is larger.
     pub(super) fn silent_nodes_within(
         &self,
         state: &GatewayState,
@@ -140,7 +140,8 @@
         missed.max(near + state.zone_traffic.silent_count(now))
     }
 
-    /// How long isolated nodes may go on admitting requests.
+    /// How long a silent node, which may only be isolated, can go on admitting requests: until its
+    /// configuration has been unconfirmed for too long.
     pub(super) fn silent_node_admission_time(&self) -> Duration {
         let max_age = self.settings().max_unconfirmed_age;
         max_age.unwrap_or(SILENT_NODE_ADMISSION_TIME)
--- a/crates/gateway/src/gateway/zone_relay.rs
+++ b/crates/gateway/src/gateway/zone_relay.rs
@@ -1,4 +1,7 @@
 //! Exchanges updates between the zones of a large deployment; see docs/design/reading.md.
+//!
+//! An update is sent to few nodes, which forward it. Its field `pass` states to which nodes the
+//! receiver forwards it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -77,9 +80,9 @@
         Some((update, relays))
     }
 
-    /// The total load at engines of this zone's nodes and the queued prefixes, for the nodes of a
-    /// wide zone; empty while another node is the zone's reader. The update for other zones is
-    /// built afterwards and removes the prefixes from the queue.
+    /// The load that the nodes of this zone together put on each engine, and the queued prefixes,
+    /// for the nodes of a wide zone; empty while another node is the zone's reader. The update for
+    /// other zones is built afterwards and removes the prefixes from the queue.
     pub fn next_own_zone_updates(&self) -> Vec<Envelope> {
         let now = self.clock().now();
         let state = self.state();
@@ -98,8 +101,8 @@
         self.envelopes_for_zone(&state, &update, now)
     }
 
-    /// Updates that every node of this zone and of all others needs at once: weight loads, stages
-    /// of releases, requests that crash engines, and signals of engines.
+    /// Updates that every node of this zone and of all others needs at once: starts and completions
+    /// of weight loading, stages of releases, requests that crash engines, and signals of engines.
     pub fn next_urgent_updates(&self) -> Vec<Envelope> {
         let now = self.clock().now();
         let mut state = self.state_mut();
@@ -165,9 +168,9 @@
                 relays.push(*peer_address);
             }
         }
-        // Relays of other regions take turns: one that is lost, or can't reach the others of its
-        // region, causes gaps of two messages until its failure is noticed, which is less than the
-        // delay that updates may have.
+        // Relays of other regions are used in rotation: one that is lost, or can't reach the others
+        // of its region, causes gaps of two messages until its failure is noticed, which is less
+        // than the delay that updates may have.
         for relays in remote.values_mut() {
             let offset = state.relay_rotation % relays.len();
             relays.rotate_left(offset);
@@ -247,10 +250,10 @@
         envelopes.collect()
     }
 
-    /// Groups for forwarding an urgent update. Two nodes of the zone forward it; nodes at odd
-    /// positions by name shift their groups by half a group. A node that has just been lost then
-    /// heads a group of at most one of the two. The exception is the first group, which the two
-    /// nodes belong to and which therefore has a spare head.
+    /// Groups for forwarding an urgent update of another zone, which two nodes of this zone receive
+    /// and forward. Nodes at odd positions by name shift their groups by half a group, so that a
+    /// node that has just been lost heads a group of at most one of the two. The exception is the
+    /// first group, which the two nodes belong to; it therefore has a backup head.
     fn urgent_update_groups<'a>(
         &self,
         near: &'a [&'a NodeIdentity],
@@ -399,15 +402,16 @@
         state.foreign_loads_changed = false;
     }
 
-    /// Queues a prefix reported by a node of this zone, for the other zones.
+    /// Queues a prefix reported by a node of this zone, for the other zones. The queue holds at
+    /// most what eight updates carry.
     pub(super) fn queue_zone_update(&self, state: &mut GatewayState, update: HolderUpdate) {
         if state.peers.is_large() && state.zone_updates.len() < MAX_HOLDERS_PER_UPDATE * 8 {
             state.zone_updates.push(update);
         }
     }
 
-    /// Sends an update of a weight load to every node: through zones in a large deployment, in the
-    /// next message to all nodes in a small one.
+    /// Sends the start or completion of weight loading to every node: through updates between zones
+    /// in a large deployment, in the next message to all nodes in a small one.
     pub(super) fn send_loading_update(&self, state: &mut GatewayState, update: WeightsUpdate) {
         match state.peers.is_large() {
             true => state.loading_updates.push(update),
--- a/crates/gateway/src/placement/chooser.rs
+++ b/crates/gateway/src/placement/chooser.rs
@@ -167,8 +167,8 @@
     fn has_excluded_engines(&self, pool: &PoolName) -> bool {
         let mut engines = self.engines.of_pool(pool);
         engines.any(|engine| {
-            let bar = engine.condition.exclusion(self.now);
-            bar.is_some_and(|bar| bar.reason != ExclusionReason::Leaving)
+            let exclusion = engine.condition.exclusion(self.now);
+            exclusion.is_some_and(|exclusion| exclusion.reason != ExclusionReason::Leaving)
         })
     }
 
