--- a/crates/gateway/src/gateway/source_log.rs
+++ b/crates/gateway/src/gateway/source_log.rs
@@ -28,11 +28,11 @@
 impl Gateway {
     /// Counts a request to the source by its outcome.
     pub(crate) fn count_source_request(&self, kind: ItemKind, query: Query, is_answered: bool) {
-        let outcome = match is_answered {
+        let end = match is_answered {
             true => "answered",
             false => "failed",
         };
-        let label = format!("{kind}_{query}_{outcome}");
+        let label = format!("{kind}_{query}_{end}");
         let requests = &self.metrics().source_questions;
         requests.with_label_values(&[&label]).inc();
     }
