--- a/crates/gateway/src/gateway/peer_messages.rs
+++ b/crates/gateway/src/gateway/peer_messages.rs
@@ -284,7 +284,7 @@
             self.send_requested.notify_one();
         }
         let zone = &self.settings().identity.zone;
-        let is_newest = state.peers.note_message(&message, zone, now);
+        let is_newest = state.peers.receive(&message, zone, now);
         if state.peers.is_large() {
             for echo in &message.echoes {
                 state.peers.note_echo(echo, now);
--- a/crates/gateway/src/peers/peer_table.rs
+++ b/crates/gateway/src/peers/peer_table.rs
@@ -103,12 +103,7 @@
     }
 
     /// Takes who a message is from; `false` when a newer one came before it.
-    pub fn note_message(
-        &mut self,
-        message: &PeerMessage,
-        own_zone: &ZoneName,
-        now: Timestamp,
-    ) -> bool {
+    pub fn receive(&mut self, message: &PeerMessage, own_zone: &ZoneName, now: Timestamp) -> bool {
         let from = &message.from;
         self.last_heard_at = Some(now);
         self.unheard.retain(|address| *address != from.peer_address);
