--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -27,9 +27,9 @@
 const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
 /// In a large deployment a replica counts as late when it is older than this share of the
 /// propagation limit: two watches, three questions and their answers together take less. A reader
-/// with a late replica asks another node. One of twelve nodes, answered 3 s late by the source,
-/// thereby learned of changes in under 2 s; without asking it still lacked two consecutive changes
-/// after 20 s (virtual clock, maximum of four runs).
+/// with a late replica asks another node. A reader among twelve nodes, answered 3 s late by the
+/// source, thereby learned of changes in under 2 s; without asking it still lacked two consecutive
+/// changes after 20 s (virtual clock, maximum of four runs).
 const LATE_REPLICA_SHARE: f64 = 0.5;
 /// Minimum lead of another node's confirmation over this node's to justify a question.
 const MIN_FRESHNESS_LEAD: Duration = Duration::from_millis(200);
