--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,17 +1,29 @@
 //! State of a gateway, shared by all its tasks.
+//!
+//! Terms used throughout:
+//! - The *source* is the external store of the configuration, the engine list and the published
+//!   versions of weights. Each node keeps a *replica* of these.
+//! - In a *small* deployment every node sends its messages to all others and watches the source
+//!   itself. In a *large* one, messages go to a selection of nodes, the nodes of a zone catch up
+//!   with the zone's *reader*, and the readers with the first of all nodes, which watches the
+//!   source.
+//! - In a *wide* zone, which has too many nodes to message each other directly, the reader also
+//!   gathers the loads of the zone's nodes and sends them the sums.
+//! - A *full update* is a message to other nodes that also carries the member list and state that
+//!   has been known for long.
 
 mod backpressure;
+mod cache_directory;
 mod cache_events;
-mod cache_knowledge;
 mod caller_ring;
 mod callers;
-mod configuration_handover;
+mod configuration_transfer;
 mod engine_incarnations;
 mod engine_weights;
 mod freshness;
 mod gateway_settings;
 mod gateway_state;
-mod list_handover;
+mod list_transfer;
 mod order_candidacy;
 mod outdated_engines;
 mod peer_messages;
@@ -20,8 +32,8 @@
 mod prefill_split;
 mod published_weights;
 mod readers;
-mod release_intake;
 mod release_orders;
+mod release_traffic;
 mod release_updates;
 mod releases;
 mod replica_freshness;
--- a/crates/gateway/src/gateway/published_weights.rs
+++ b/crates/gateway/src/gateway/published_weights.rs
@@ -6,7 +6,7 @@
 use slog::info;
 
 use super::Gateway;
-use crate::rollout::NamedAt;
+use crate::rollout::PublicationTime;
 use crate::source::{ItemKind, NamedWeights};
 
 /// A watch that was open for this long was waiting for the change that it reports, and reports it
@@ -28,8 +28,8 @@
     ) {
         let now = self.clock().now();
         let at = match self.state().has_weights_list {
-            true => NamedAt::Between(self.earliest_publication(asked_at, now), now),
-            false => NamedAt::Assumed(now.before(self.settings().assumed_weights_age)),
+            true => PublicationTime::Between(self.earliest_publication(asked_at, now), now),
+            false => PublicationTime::Assumed(now.before(self.settings().assumed_weights_age)),
         };
         let mut state = self.state_mut();
         if state.deadlines.note(&named.model, named.version, at) {
@@ -46,7 +46,7 @@
         let state = self.state();
         let replica = state.replicas.of(ItemKind::Weights);
         let as_of = replica.freshness.confirmed_at().max(replica.read_at);
-        // An earlier time would make no difference: older weights must be given up at once in any
+        // An earlier time would make no difference: older weights may no longer be used in any
         // case.
         let settings = self.settings();
         let earliest = now.before(settings.assumed_weights_age);
--- a/crates/gateway/src/gateway/source_sync.rs
+++ b/crates/gateway/src/gateway/source_sync.rs
@@ -20,15 +20,16 @@
 /// fills a datagram. Where more engines change at once, the whole list is transferred.
 const MAX_GROUPED_CHANGES: usize = 1_000;
 /// In a small deployment each node watches the source itself, and changes reach all nodes within
-/// milliseconds. A node that another one reports a change to waits for its own watch for this time,
-/// then asks the reporting node. Where the source answers one of seven nodes 1.6 s late, that node
-/// learns of the second of two consecutive changes in under 2 s; without asking it took 2.9 s
+/// milliseconds. A node to which another one has reported a change waits this long for its own
+/// watch, then asks the reporting node. If the source answers one of seven nodes 1.6 s late, that
+/// node learns of the second of two consecutive changes in under 2 s; without asking it took 2.9 s
 /// (virtual clock, maximum of four runs).
 const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
-/// In a large deployment a replica older than this share of the propagation limit is late: two
-/// watches, three questions and their answers together take less. A reader among twelve nodes that
-/// the source answers 3 s late then asks another node and learns of changes in under 2 s; without
-/// asking it had missed two consecutive changes after 20 s (virtual clock, maximum of four runs).
+/// In a large deployment a replica counts as late when it is older than this share of the
+/// propagation limit: two watches, three questions and their answers together take less. A reader
+/// with a late replica asks another node. A reader among twelve nodes, answered 3 s late by the
+/// source, thereby learned of changes in under 2 s; without asking it still lacked two consecutive
+/// changes after 20 s (virtual clock, maximum of four runs).
 const LATE_REPLICA_SHARE: f64 = 0.5;
 /// Minimum lead of another node's confirmation over this node's to justify a question.
 const MIN_FRESHNESS_LEAD: Duration = Duration::from_millis(200);
@@ -64,9 +65,11 @@
         }
         let is_new = self.uptime() < PEER_DISCOVERY_TIME && !state.peers.is_settled();
         let has_parent = is_new || self.parent(&state, now).is_some();
-        // Nodes that ask this one although it is not their reader could not rely on its parent.
-        let is_stand_in = state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
-        match has_parent && !is_stand_in && !state.is_order_candidate {
+        // Nodes that ask this one although it is not the reader of its zone may have found the
+        // reader silent or outdated, so this node must not depend on it either.
+        let is_substitute_reader =
+            state.sync.is_relied_on(now) && self.reader(&state, now).is_some();
+        match has_parent && !is_substitute_reader && !state.is_order_candidate {
             true => Role::Follower,
             false => Role::Reader,
         }
@@ -79,9 +82,9 @@
         state.peers.is_large() && self.reader(&state, now).is_none()
     }
 
-    /// Whether this node sends questions twice as often: as the reader of its zone, as a node of a
-    /// small deployment, which asks only while it is behind, or in a wide zone, where answers have
-    /// passed through one more node.
+    /// Whether this node sends questions twice as often as others. The reader of a zone does; so do
+    /// nodes of a small deployment, which ask only while they are behind, and nodes of a wide zone,
+    /// where answers have passed through one more node.
     pub fn asks_often(&self) -> bool {
         let is_small_or_wide = {
             let state = self.state();
@@ -113,21 +116,22 @@
     /// The node that this one catches up with. In a large deployment that is its parent; nodes of a
     /// small deployment, and nodes without a parent, ask one that is known to be ahead.
     fn sync_target(&self, state: &GatewayState, now: Timestamp) -> Option<(NodeName, SocketAddr)> {
-        let better = match self.is_lagging(state, now) {
+        let ahead = match self.is_lagging(state, now) {
             true => state.peer_ahead.as_ref(),
             false => None,
         };
-        let better = better.filter(|node| state.sync.may_ask(&node.name, now));
-        let better = better.map(|node| (node.name.clone(), node.address));
+        let ahead = ahead.filter(|node| state.sync.may_ask(&node.name, now));
+        let ahead = ahead.map(|node| (node.name.clone(), node.address));
         match state.peers.is_large() {
-            true => self.parent(state, now).or(better),
-            false => better,
+            true => self.parent(state, now).or(ahead),
+            false => ahead,
         }
     }
 
-    /// Whether the source reports changes to this node later than to others. In a small deployment
-    /// nodes confirm each other's replicas; in a large one every replica is confirmed within the
-    /// time that readers need.
+    /// Whether this node receives changes from the source later than others. In a small deployment,
+    /// where nodes confirm each other's replicas, it does if another node has had a newer replica
+    /// for `OWN_WATCH_TIMEOUT`. In a large one it does if its engine list has not been confirmed
+    /// within the time that readers normally need.
     fn is_lagging(&self, state: &GatewayState, now: Timestamp) -> bool {
         if self.wants_list(state, now) {
             return true;
@@ -151,7 +155,7 @@
 
     /// In a large deployment, lets a node whose own replica is late ask another one whose replica
     /// was confirmed more recently. Nodes that are not late ignore such reports.
-    pub(super) fn note_better_informed_peer(
+    pub(super) fn note_fresher_peer(
         &self,
         state: &mut GatewayState,
         node: &NodeIdentity,
@@ -215,12 +219,16 @@
     }
 
     /// Whether this node has seen the publication of every version after `revision`. It can only
-    /// assume the age of versions that were there when it started, and assumptions must not spread.
+    /// assume the age of versions that were published before it started, and must not report
+    /// assumed ages to other nodes.
     fn knows_weights_after(&self, state: &GatewayState, revision: Option<u64>) -> bool {
-        let begin = state.weights_seen_after;
-        begin.is_some() && revision >= begin
+        let seen_after = state.weights_seen_after;
+        seen_after.is_some() && revision >= seen_after
     }
 
+    /// Changes of the engine list since the revision that the asking node has, and the revision
+    /// that they lead to; `None` if the change log does not reach back that far or the next changes
+    /// exceed `max`.
     fn catch_up(
         &self,
         state: &GatewayState,
--- a/crates/gateway/src/gateway/tenant_limits.rs
+++ b/crates/gateway/src/gateway/tenant_limits.rs
@@ -21,8 +21,7 @@
 const MIN_INFORMED_UPTIME: Duration = Duration::from_millis(1_500);
 /// Minimum number of nodes assumed while a node has heard from no other, though others may exist.
 const ASSUMED_NODES_WHILE_ALONE: usize = 16;
-/// How long silent nodes may go on admitting requests where no maximum age of the configuration's
-/// confirmation ends that.
+/// How long a silent node is assumed to admit requests when `max_unconfirmed_age` sets no bound.
 const SILENT_NODE_ADMISSION_TIME: Duration = Duration::from_secs(30);
 
 impl Gateway {
@@ -31,14 +30,14 @@
         let Some((tenant, limit, amount)) = limit_usage(request) else {
             return Ok(());
         };
-        let ask = Request {
+        let quota_request = Request {
             amount,
             priority: request.route.priority,
             draw: draw_of(&request.caller.id),
         };
         let now = self.clock().now();
         let mut state = self.state_mut();
-        match state.quotas.decide(tenant, &limit, &ask, now) {
+        match state.quotas.decide(tenant, &limit, &quota_request, now) {
             Verdict::Admitted => Ok(()),
             Verdict::Refused {
                 retry_after,
@@ -109,7 +108,7 @@
     pub(super) fn limit_peers(&self, state: &GatewayState, now: Timestamp) -> Peers {
         let nodes = state.peers.known_count() + 1;
         let last_heard = state.peers.last_heard_at();
-        let is_heard = last_heard.is_some_and(|at| now.since(at) < UNINFORMED_TIMEOUT);
+        let has_recent_message = last_heard.is_some_and(|at| now.since(at) < UNINFORMED_TIMEOUT);
         let is_new = self.uptime() < MIN_INFORMED_UPTIME;
         Peers {
             nodes: match last_heard {
@@ -117,7 +116,7 @@
                 _ => nodes,
             },
             silent: self.silent_nodes(state, now),
-            is_uninformed: nodes > 1 && (is_new || !is_heard),
+            is_uninformed: nodes > 1 && (is_new || !has_recent_message),
             others: PeerUsage::default(),
         }
     }
@@ -128,7 +127,8 @@
         self.silent_nodes_within(state, self.silent_node_admission_time(), now)
     }
 
-    /// Number of silent nodes; those of this zone count if they were heard from within this time.
+    /// Number of silent nodes that were heard from within `within`: as counted by this node, or the
+    /// sum of the counts of all zones if that is larger.
     pub(super) fn silent_nodes_within(
         &self,
         state: &GatewayState,
@@ -140,10 +140,11 @@
         missed.max(near + state.zone_traffic.silent_count(now))
     }
 
-    /// How long isolated nodes may go on admitting requests.
+    /// How long a silent node, which may only be isolated, can go on admitting requests: until its
+    /// configuration has been unconfirmed for too long.
     pub(super) fn silent_node_admission_time(&self) -> Duration {
-        let unproven = self.settings().max_unconfirmed_age;
-        unproven.unwrap_or(SILENT_NODE_ADMISSION_TIME)
+        let max_age = self.settings().max_unconfirmed_age;
+        max_age.unwrap_or(SILENT_NODE_ADMISSION_TIME)
     }
 
     /// Usage of tenants summed over the nodes of this zone, for the other zones.
