--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -12,7 +12,7 @@
 use crate::engines::EngineTable;
 use crate::placement::Placement;
 use crate::release::{
-    Admission, AnswerEnd, AnswerTiming, EngineFilter, Gate, KnownRelease, ListedVersions,
+    Admission, AdmissionPolicy, AnswerEnd, AnswerTiming, EngineFilter, KnownRelease, ListedVersions,
 };
 use crate::serve::AcceptedRequest;
 
@@ -53,8 +53,8 @@
         state: &'a GatewayState,
         settings: &'a Settings,
         now: Timestamp,
-    ) -> Gate<'a> {
-        Gate {
+    ) -> AdmissionPolicy<'a> {
+        AdmissionPolicy {
             settings,
             table: &state.releases,
             engines: &state.engines,
@@ -131,9 +131,9 @@
             end => end,
         };
         let releases = &mut state.releases;
-        let judgement = timing.judge(end, &releases.paces, now);
+        let judgement = timing.judge(end, &releases.typical_times, now);
         if releases.is_present(&timing.pool, &timing.software) {
-            timing.teach(end, &mut releases.paces, now);
+            timing.update_typical_times(end, &mut releases.typical_times, now);
         }
         let Some(judgement) = judgement else {
             return;
@@ -173,7 +173,7 @@
             let has_pool = table
                 .as_ref()
                 .is_none_or(|table| table.pool(pool).is_some());
-            let is_old = now.since(known.staged_at) >= FINISHED_RELEASE_RETENTION;
+            let is_old = now.since(known.stage_since) >= FINISHED_RELEASE_RETENTION;
             is_old && (!has_pool || is_obsolete(known, engines))
         });
         let in_use = self.versions_in_use(state, settings, now);
@@ -196,7 +196,7 @@
         let able = of_target.filter(|engine| engine.takes_work(now)).count();
         let total = known.total(is_large);
         let sent = known.budget;
-        if known.reconsider() {
+        if known.resume_trial() {
             info!(self.log(), "release_goes_on_here"; "pool" => %order.pool,
                 "target" => &order.target, "sent_here" => sent.target(), "of" => sent.all());
         }
@@ -262,7 +262,7 @@
 pub(super) fn note_all_replaced(known: &mut KnownRelease, engines: &EngineTable) {
     let order = &known.grant.order;
     let versions = ListedVersions::of(engines, &order.pool);
-    let others = versions.others_than(&order.target).cloned();
+    let others = versions.all_except(&order.target).cloned();
     known.replaced.extend(others.collect::<Vec<_>>());
 }
 
@@ -271,7 +271,7 @@
 /// end may see a later replacement.
 pub(super) fn note_replaced(known: &mut KnownRelease, engines: &EngineTable, now: Timestamp) {
     let grant = &known.grant;
-    let is_fresh = now.since(known.staged_at) < REPLACED_VERSION_WINDOW;
+    let is_fresh = now.since(known.stage_since) < REPLACED_VERSION_WINDOW;
     if grant.stage != Stage::Completed || !is_fresh {
         return;
     }
--- a/crates/gateway/src/gateway/release_orders.rs
+++ b/crates/gateway/src/gateway/release_orders.rs
@@ -62,7 +62,7 @@
         let now = self.clock().now();
         let state = self.state();
         let releases = state.releases.iter();
-        let lapsed = releases.filter(|known| !known.is_granted(settings.grant_lifetime(), now));
+        let lapsed = releases.filter(|known| !known.is_grant_valid(settings.grant_lifetime(), now));
         lapsed.map(|known| known.grant.clone()).collect()
     }
 
--- a/crates/gateway/src/gateway/release_updates.rs
+++ b/crates/gateway/src/gateway/release_updates.rs
@@ -30,7 +30,8 @@
         now: Timestamp,
     ) -> Vec<ReleaseUpdate> {
         let is_due = |known: &&KnownRelease| {
-            let is_recent = !known.is_final() || now.since(known.staged_at) < FINAL_GRANT_SEND_TIME;
+            let is_recent =
+                !known.is_final() || now.since(known.stage_since) < FINAL_GRANT_SEND_TIME;
             is_recent || is_full_update
         };
         let known = state.releases.iter().filter(is_due);
@@ -73,8 +74,8 @@
         state.releases.knows_orders |= message.knows_orders;
         let is_near = message.from.zone == self.settings().identity.zone;
         let origin = match is_near {
-            true => Origin::Near,
-            false => Origin::Far,
+            true => Origin::SameZone,
+            false => Origin::OtherZone,
         };
         apply_evidence(state, &message.evidence, message.from.incarnation, origin);
     }
@@ -87,7 +88,7 @@
         self.apply_grants(state, &update.releases);
         if update.zone != self.settings().identity.zone {
             let reporter = zone_reporter(&update.zone);
-            apply_evidence(state, &update.evidence, reporter, Origin::Zone);
+            apply_evidence(state, &update.evidence, reporter, Origin::ZoneTotal);
         }
     }
 
@@ -133,7 +134,7 @@
         let mut known = state.releases.iter_mut();
         let known = known.find(|known| order_key(&known.grant.order) == *order);
         if let Some(known) = known {
-            known.absorb(reporter, origin, counts);
+            known.merge_report(reporter, origin, counts);
         }
     }
 }
--- a/crates/gateway/src/gateway/releases.rs
+++ b/crates/gateway/src/gateway/releases.rs
@@ -40,7 +40,7 @@
         let before = before.map(|known| (known.grant.order.clone(), known.grant.stage));
         let after = (grant.order.clone(), grant.stage);
         let (share, fence, elapsed) = (grant.share, grant.fence, grant.elapsed);
-        let is_taken = state.releases.take(grant, now.before(age), now);
+        let is_taken = state.releases.apply(grant, now.before(age), now);
         // A node that has followed the release knows that all other versions have been replaced,
         // including those whose engines started recently.
         let has_followed = before
--- a/crates/gateway/src/release/gate.rs
+++ b/crates/gateway/src/release/admission_policy.rs
@@ -14,13 +14,13 @@
 /// A node that was just started takes the version of the oldest engines for the present one until it
 /// knows the orders, so long at most: by then a director has been found and has read them. A source that
 /// does not answer for longer must not keep engines idle that replace others without an order.
-const ORDERS_AWAITED: Duration = Duration::from_secs(10);
+const ORDERS_TIMEOUT: Duration = Duration::from_secs(10);
 /// Draws of a request that decide other things are independent of the one that decides its version.
 const DRAW_SEED: u64 = 0x7265_6c65_6173_6573;
 
 /// Decides which engines of a pool may take a request, by the newest grant.
 #[derive(Debug)]
-pub struct Gate<'a> {
+pub struct AdmissionPolicy<'a> {
     /// How releases are bounded.
     pub settings: &'a Settings,
     /// What is known of releases.
@@ -35,7 +35,7 @@
     pub now: Timestamp,
 }
 
-impl Gate<'_> {
+impl AdmissionPolicy<'_> {
     /// Where a request goes that was sent to these engines before.
     pub fn admission(&self, pool: &PoolName, id: &str, tried: &[BackEndName]) -> Admission {
         let versions = ListedVersions::of(self.engines, pool);
@@ -53,10 +53,10 @@
             return BTreeSet::new();
         };
         match known.grant.stage {
-            Stage::Trial | Stage::RolledBack | Stage::Withdrawn => self.all_but_present(known),
+            Stage::Trial | Stage::RolledBack | Stage::Withdrawn => self.closed_versions(known),
             Stage::Settling | Stage::Completed => {
                 let target = &known.grant.order.target;
-                versions.others_than(target).cloned().collect()
+                versions.all_except(target).cloned().collect()
             }
             Stage::Shifting => known.rejected.clone(),
         }
@@ -66,12 +66,12 @@
     pub fn open_versions(&self, pool: &PoolName) -> BTreeSet<SoftwareVersion> {
         let versions = ListedVersions::of(self.engines, pool);
         let known = self.table.of(pool);
-        let intake = match known {
+        let filter = match known {
             Some(known) if !known.is_final() => self.present_engines(known, &versions),
             Some(known) => self.by_release(known, &versions, "", &[]).first,
             None => self.without_release(&versions).first,
         };
-        let closed = match intake {
+        let closed = match filter {
             EngineFilter::Except(closed) => closed,
             EngineFilter::Any | EngineFilter::Only(_) => BTreeSet::new(),
         };
@@ -105,8 +105,8 @@
     /// Whether a request goes to the target version of a release that has not come to its end.
     fn may_go_to_target(&self, known: &KnownRelease, id: &str, tried: &[BackEndName]) -> bool {
         let grant = &known.grant;
-        let life = self.settings.grant_lifetime();
-        if known.is_stopped() || !known.is_granted(life, self.now) {
+        let lifetime = self.settings.grant_lifetime();
+        if known.is_stopped() || !known.is_grant_valid(lifetime, self.now) {
             return false;
         }
         let is_drawn = || draw_of(id) < grant.share && !self.has_tried_target(known, tried);
@@ -136,9 +136,9 @@
         let window = known.grant.window;
         let window = window.filter(|_| known.grant.stage == Stage::Trial);
         engines.sort_unstable_by_key(|engine| engine.name_hash);
-        let places = engines.into_iter().enumerate();
-        let granted =
-            places.filter(|(place, _)| window.is_none_or(|window| window.holds(*place, count)));
+        let positions = engines.into_iter().enumerate();
+        let granted = positions
+            .filter(|(position, _)| window.is_none_or(|window| window.holds(*position, count)));
         let names = granted.map(|(_, engine)| engine.entry.name.clone());
         EngineFilter::Only(names.collect())
     }
@@ -152,14 +152,14 @@
     }
 
     fn present_engines(&self, known: &KnownRelease, versions: &ListedVersions) -> EngineFilter {
-        let closed = self.all_but_present(known);
-        let is_left = |closed: &BTreeSet<SoftwareVersion>| {
+        let closed = self.closed_versions(known);
+        let is_any_open = |closed: &BTreeSet<SoftwareVersion>| {
             versions.iter().any(|version| !closed.contains(version))
         };
-        let mut with_held = closed.clone();
-        with_held.extend(versions.held(self.now));
-        match is_left(&with_held) {
-            true => EngineFilter::except(with_held),
+        let mut with_on_hold = closed.clone();
+        with_on_hold.extend(versions.on_hold(self.now));
+        match is_any_open(&with_on_hold) {
+            true => EngineFilter::except(with_on_hold),
             false => EngineFilter::except(closed),
         }
     }
@@ -173,7 +173,7 @@
         versions.any(|version| *version != order.target && !known.rejected.contains(version))
     }
 
-    fn all_but_present(&self, known: &KnownRelease) -> BTreeSet<SoftwareVersion> {
+    fn closed_versions(&self, known: &KnownRelease) -> BTreeSet<SoftwareVersion> {
         let mut closed = known.rejected.clone();
         closed.insert(known.grant.order.target.clone());
         closed
@@ -189,7 +189,7 @@
         if !has_target {
             return self.without_release(versions);
         }
-        let mut closed = versions.held(self.now);
+        let mut closed = versions.on_hold(self.now);
         closed.extend(known.replaced.iter().cloned());
         closed.remove(target);
         Admission::to(EngineFilter::except(closed))
@@ -200,13 +200,13 @@
         if versions.is_uniform() {
             return Admission::to(EngineFilter::Any);
         }
-        let held = versions.held(self.now);
-        let is_uninformed = !self.table.knows_orders && self.uptime < ORDERS_AWAITED;
+        let on_hold = versions.on_hold(self.now);
+        let is_uninformed = !self.table.knows_orders && self.uptime < ORDERS_TIMEOUT;
         let closed = match versions.oldest() {
-            Some(oldest) if is_uninformed || versions.iter().all(|each| held.contains(each)) => {
-                versions.others_than(oldest).cloned().collect()
+            Some(oldest) if is_uninformed || versions.iter().all(|each| on_hold.contains(each)) => {
+                versions.all_except(oldest).cloned().collect()
             }
-            _ => held,
+            _ => on_hold,
         };
         // No version is known to be bad, and a node always serves.
         match closed.is_empty() {
--- a/crates/gateway/src/release/answer_timing.rs
+++ b/crates/gateway/src/release/answer_timing.rs
@@ -6,23 +6,23 @@
 use ryerouter_core::identity::{BackEndName, PoolName};
 use ryerouter_core::release::{Judgement, RouteKey, SoftwareVersion};
 
-use super::{Paces, TimedPart};
+use super::{TimedPart, TypicalTimes};
 
 /// With fewer events the time between them says little.
-const LEAST_EVENTS: u32 = 4;
+const MIN_EVENTS: u32 = 4;
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// The answer came to its end.
-    Whole {
+    Complete {
         /// Whether it tells how long answers take: a refusal for the request's own fault comes sooner.
         is_success: bool,
     },
     /// It was an error of the engine's own, broke off, or was not an answer.
     Failed,
     /// Nobody waited for its end: the caller left, or its time ran out.
-    Left,
+    Abandoned,
     /// The engine did not run the request.
     NotRun,
 }
@@ -80,43 +80,53 @@
     }
 
     /// How the answer is judged; `None` when its end says nothing of its engine.
-    pub fn judge(&self, end: AnswerEnd, paces: &Paces, now: Timestamp) -> Option<Judgement> {
-        let is_slow = || !self.is_cold && self.is_slow(paces, now);
+    pub fn judge(
+        &self,
+        end: AnswerEnd,
+        typical_times: &TypicalTimes,
+        now: Timestamp,
+    ) -> Option<Judgement> {
+        let is_slow = || !self.is_cold && self.is_slow(typical_times, now);
         match end {
             AnswerEnd::NotRun => None,
             AnswerEnd::Failed => Some(Judgement::Failed),
-            AnswerEnd::Whole { .. } if is_slow() => Some(Judgement::Slow),
-            AnswerEnd::Whole { .. } => Some(Judgement::Good),
+            AnswerEnd::Complete { .. } if is_slow() => Some(Judgement::Slow),
+            AnswerEnd::Complete { .. } => Some(Judgement::Good),
             // One that hangs is left in the end.
-            AnswerEnd::Left => is_slow().then_some(Judgement::Slow),
+            AnswerEnd::Abandoned => is_slow().then_some(Judgement::Slow),
         }
     }
 
     /// Takes the times of a present version's answer into what is usual.
-    pub fn teach(&self, end: AnswerEnd, paces: &mut Paces, now: Timestamp) {
-        let is_taken = match end {
-            AnswerEnd::Whole { is_success } => is_success,
+    pub fn update_typical_times(
+        &self,
+        end: AnswerEnd,
+        typical_times: &mut TypicalTimes,
+        now: Timestamp,
+    ) {
+        let is_usable = match end {
+            AnswerEnd::Complete { is_success } => is_success,
             // When all become slow, what is usual rises.
-            AnswerEnd::Left => self.is_slow(paces, now),
+            AnswerEnd::Abandoned => self.is_slow(typical_times, now),
             AnswerEnd::Failed | AnswerEnd::NotRun => false,
         };
-        if !is_taken || self.is_cold {
+        if !is_usable || self.is_cold {
             return;
         }
         let (part, took) = self.first_part(now);
-        paces.note(self, part, took);
-        if self.events >= LEAST_EVENTS {
-            paces.note(self, TimedPart::Event, self.time_between_events());
+        typical_times.note(self, part, took);
+        if self.events >= MIN_EVENTS {
+            typical_times.note(self, TimedPart::Event, self.time_between_events());
         }
     }
 
-    fn is_slow(&self, paces: &Paces, now: Timestamp) -> bool {
+    fn is_slow(&self, typical_times: &TypicalTimes, now: Timestamp) -> bool {
         let (part, took) = self.first_part(now);
-        if paces.is_slow(self, part, took) {
+        if typical_times.is_slow(self, part, took) {
             return true;
         }
         // Streams of which hardly anything came are compared as if some more had come by now.
-        paces.is_slow(self, TimedPart::Event, self.time_between_events())
+        typical_times.is_slow(self, TimedPart::Event, self.time_between_events())
     }
 
     /// What of the answer was waited for at first, and how long.
@@ -130,6 +140,6 @@
     }
 
     fn time_between_events(&self) -> Duration {
-        self.waited / self.events.max(LEAST_EVENTS)
+        self.waited / self.events.max(MIN_EVENTS)
     }
 }
--- a/crates/gateway/src/release/course.rs
+++ b/crates/gateway/src/release/directed_release.rs
@@ -13,9 +13,9 @@
 
 /// One release under direction: its stages, what nodes were told last, and how its record stands.
 #[derive(Debug, Clone)]
-pub struct Course {
+pub struct DirectedRelease {
     /// The stages.
-    pub trial: Progress,
+    pub progress: Progress,
     /// How its record stands.
     pub record: RecordState,
     /// Calls for the record that failed in a row.
@@ -23,31 +23,31 @@
     /// Whether this director has recorded anything. A record of the director before may still be carried out
     /// late, until the order has another revision: this one's first record sees to that.
     pub has_recorded: bool,
-    told: Option<Told>,
+    last_sent: Option<SentGrant>,
 }
 
 #[derive(Debug, Clone)]
-struct Told {
+struct SentGrant {
     grant: Grant,
     at: Timestamp,
 }
 
-impl Course {
+impl DirectedRelease {
     /// A release of which nothing was told yet.
-    pub fn new(trial: Progress) -> Self {
+    pub fn new(progress: Progress) -> Self {
         Self {
-            trial,
-            record: RecordState::Settled,
+            progress,
+            record: RecordState::Known,
             failures: 0,
             has_recorded: false,
-            told: None,
+            last_sent: None,
         }
     }
 
     /// What the record should be now.
     fn outcome(&self) -> Outcome {
         // An order that stands again after it was taken back: its target version gets nothing for good.
-        let outcome = self.trial.stage().outcome();
+        let outcome = self.progress.stage().outcome();
         outcome.unwrap_or(Outcome::RolledBack)
     }
 
@@ -66,7 +66,7 @@
         number: u64,
         now: Timestamp,
     ) -> Option<Grant> {
-        let mut grant = self.trial.grant(revision, fence, number, now);
+        let mut grant = self.progress.grant(revision, fence, number, now);
         if grant.stage == Stage::Completed {
             // The present engines stop once the source holds the record. Until then nodes only know that
             // all new requests move.
@@ -75,7 +75,7 @@
         if !self.is_due(&grant, now) {
             return None;
         }
-        self.told = Some(Told {
+        self.last_sent = Some(SentGrant {
             grant: grant.clone(),
             at: now,
         });
@@ -83,14 +83,14 @@
     }
 
     fn is_due(&self, grant: &Grant, now: Timestamp) -> bool {
-        let Some(told) = &self.told else {
+        let Some(last_sent) = &self.last_sent else {
             return true;
         };
-        let before = &told.grant;
+        let before = &last_sent.grant;
         let is_same = before.stage == grant.stage
             && before.share.total_cmp(&grant.share).is_eq()
             && before.window == grant.window;
-        let is_kept = before.stage.is_final() || now.since(told.at) < GRANT_INTERVAL;
+        let is_kept = before.stage.is_final() || now.since(last_sent.at) < GRANT_INTERVAL;
         !(is_same && is_kept)
     }
 }
--- a/crates/gateway/src/release/director.rs
+++ b/crates/gateway/src/release/director.rs
@@ -14,12 +14,12 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
 use super::director_event::DirectorEvent;
-use super::ends::tell_ends;
-use super::heard_orders::tell_heard;
+use super::end_announcement::announce_ends;
+use super::order_announcement::announce_orders;
 use super::order_follower::OrderFollower;
 use super::record_reader::RecordReader;
-use super::stage_log::{note_answers, note_stage};
-use super::{Course, KnownOrder, Orders, RecordState};
+use super::stage_log::{log_stage, record_answers};
+use super::{DirectedRelease, KnownOrder, Orders, RecordState};
 use crate::gateway::Gateway;
 use crate::source::{FollowSettings, OrderedRelease, Recorded, ReleaseStore, SourceError};
 
@@ -27,9 +27,9 @@
 /// seconds, and this look is one part of that time, beside the way of answers and of grants.
 const TICK: Duration = Duration::from_millis(100);
 /// Wait after a call for a record that failed.
-const RECORD_PAUSE: Duration = Duration::from_millis(300);
+const RECORD_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// After failures the source has up to so many times as long to answer: it may be slow and not away.
-const MOST_PATIENCE: u32 = 4;
+const MAX_TIMEOUT_FACTOR: u32 = 4;
 
 /// Directs releases while this node holds the lease of orders; until dropped, and not at all where there are
 /// no bounds of releases.
@@ -38,7 +38,7 @@
     store: Rc<dyn ReleaseStore>,
     settings: FollowSettings,
 ) {
-    let Some(bounds) = gateway.settings().releases.clone() else {
+    let Some(release_settings) = gateway.settings().releases.clone() else {
         return;
     };
     let orders = Rc::new(RefCell::new(Orders::default()));
@@ -60,10 +60,10 @@
     let director = Director {
         gateway,
         store,
-        bounds,
+        release_settings,
         answer: settings.answer,
         orders,
-        courses: BTreeMap::new(),
+        directed: BTreeMap::new(),
         grants: 0,
         sender,
     };
@@ -73,11 +73,11 @@
 struct Director {
     gateway: Rc<Gateway>,
     store: Rc<dyn ReleaseStore>,
-    bounds: release::Settings,
+    release_settings: release::Settings,
     /// Time for an answer of the source.
     answer: Duration,
     orders: Rc<RefCell<Orders>>,
-    courses: BTreeMap<PoolName, Course>,
+    directed: BTreeMap<PoolName, DirectedRelease>,
     /// Grants given so far.
     grants: u64,
     sender: UnboundedSender<DirectorEvent>,
@@ -103,7 +103,7 @@
     fn tick(&mut self) {
         let is_following = self.orders.borrow().revision().is_some();
         if !is_following || self.gateway.is_leaving() {
-            self.courses.clear();
+            self.directed.clear();
             return;
         }
         let orders = self.orders.borrow().clone();
@@ -112,25 +112,25 @@
             Some(fence) => self.direct(&orders, fence),
             // The grants run out by themselves, and whoever holds the lease next goes on with them.
             None => {
-                self.courses.clear();
-                tell_heard(&self.gateway, &orders);
+                self.directed.clear();
+                announce_orders(&self.gateway, &orders);
             }
         }
-        tell_ends(&self.gateway, &orders);
+        announce_ends(&self.gateway, &orders);
     }
 
     fn direct(&mut self, orders: &Orders, fence: u64) {
         let now = self.gateway.clock().now();
         self.withdraw(orders, fence, now);
-        self.courses.retain(|pool, course| {
+        self.directed.retain(|pool, directed| {
             let known = orders.of(pool).filter(|known| known.is_open());
-            known.is_some_and(|known| known.release.order == *course.trial.order())
+            known.is_some_and(|known| known.release.order == *directed.progress.order())
         });
         for known in orders.iter().filter(|known| known.is_open()) {
             let pool = &known.release.order.pool;
-            if !self.courses.contains_key(pool) {
-                let course = self.begin(&known.release, now);
-                self.courses.insert(pool.clone(), course);
+            if !self.directed.contains_key(pool) {
+                let directed = self.start(&known.release, now);
+                self.directed.insert(pool.clone(), directed);
             }
             self.advance(known, fence, now);
             self.record(known, now);
@@ -140,18 +140,18 @@
     /// Releases whose orders the operator has taken back.
     fn withdraw(&mut self, orders: &Orders, fence: u64, now: Timestamp) {
         let revision = orders.revision().unwrap_or_default();
-        for (pool, course) in &mut self.courses {
+        for (pool, directed) in &mut self.directed {
             if orders.of(pool).is_some() {
                 continue;
             }
-            let before = course.trial.stage();
-            course.trial.withdraw();
+            let before = directed.progress.stage();
+            directed.progress.withdraw();
             info!(self.gateway.log(), "release_stage"; "pool" => %pool,
-                "target" => &course.trial.order().target, "from" => %before,
-                "to" => %course.trial.stage(),
-                "elapsed_ms" => course.trial.elapsed(now).as_millis() as u64);
+                "target" => &directed.progress.order().target, "from" => %before,
+                "to" => %directed.progress.stage(),
+                "elapsed_ms" => directed.progress.elapsed(now).as_millis() as u64);
             self.grants += 1;
-            if let Some(grant) = course.next_grant(revision, fence, self.grants, now) {
+            if let Some(grant) = directed.next_grant(revision, fence, self.grants, now) {
                 self.gateway.publish_grant(grant);
             }
         }
@@ -159,17 +159,18 @@
 
     /// A release that this node has not directed, or not without a break: what nodes still know of it goes
     /// on.
-    fn begin(&self, release: &OrderedRelease, now: Timestamp) -> Course {
+    fn start(&self, release: &OrderedRelease, now: Timestamp) -> DirectedRelease {
         let order = &release.order;
-        let bounds = self.bounds.clone();
-        let resumed = self.gateway.resumed_release(order, &bounds);
+        let release_settings = self.release_settings.clone();
+        let resumed = self.gateway.resumed_release(order, &release_settings);
         let is_resumed = resumed.is_some();
-        let trial = resumed.unwrap_or_else(|| Progress::new(order.clone(), bounds, now));
+        let progress =
+            resumed.unwrap_or_else(|| Progress::new(order.clone(), release_settings, now));
         info!(self.gateway.log(), "release_ordered"; "pool" => %order.pool,
             "target" => &order.target, "ramp_ms" => order.ramp.as_millis() as u64,
             "made" => order.made, "revision" => release.revision, "is_resumed" => is_resumed,
-            "stage" => %trial.stage(), "elapsed_ms" => trial.elapsed(now).as_millis() as u64);
-        Course::new(trial)
+            "stage" => %progress.stage(), "elapsed_ms" => progress.elapsed(now).as_millis() as u64);
+        DirectedRelease::new(progress)
     }
 
     fn advance(&mut self, known: &KnownOrder, fence: u64, now: Timestamp) {
@@ -177,19 +178,26 @@
         let order = &release.order;
         let fleet = self.gateway.release_fleet(order);
         let counts = self.gateway.release_counts(order);
-        let Some(course) = self.courses.get_mut(&order.pool) else {
+        let Some(directed) = self.directed.get_mut(&order.pool) else {
             return;
         };
-        let before = course.trial.stage();
-        let has_changed = course.trial.advance(&fleet, &counts, now);
+        let before = directed.progress.stage();
+        let has_changed = directed.progress.advance(&fleet, &counts, now);
         let number = self.grants + 1;
-        let grant = course.next_grant(release.revision, fence, number, now);
+        let grant = directed.next_grant(release.revision, fence, number, now);
         if has_changed {
-            note_stage(&self.gateway, &course.trial, before, &fleet, &counts, now);
+            log_stage(
+                &self.gateway,
+                &directed.progress,
+                before,
+                &fleet,
+                &counts,
+                now,
+            );
         }
         if let Some(grant) = grant {
             self.grants = number;
-            note_answers(&self.gateway, order, &counts);
+            record_answers(&self.gateway, order, &counts);
             self.gateway.publish_grant(grant);
         }
     }
@@ -197,23 +205,23 @@
     /// Brings the record to what the release has come to.
     fn record(&mut self, known: &KnownOrder, now: Timestamp) {
         let order = &known.release.order;
-        let Some(course) = self.courses.get_mut(&order.pool) else {
+        let Some(directed) = self.directed.get_mut(&order.pool) else {
             return;
         };
-        let limit = self.answer * (course.failures + 1).min(MOST_PATIENCE);
-        match course.record {
-            RecordState::Settled => {
-                let Some(outcome) = course.next_record(known.recorded()) else {
+        let limit = self.answer * (directed.failures + 1).min(MAX_TIMEOUT_FACTOR);
+        match directed.record {
+            RecordState::Known => {
+                let Some(outcome) = directed.next_record(known.recorded()) else {
                     return;
                 };
-                course.record = RecordState::Open;
+                directed.record = RecordState::Pending;
                 self.call_record(known.release.clone(), outcome, limit);
             }
-            RecordState::Unsure(read_at) if read_at <= now => {
-                course.record = RecordState::Open;
+            RecordState::Uncertain(read_at) if read_at <= now => {
+                directed.record = RecordState::Pending;
                 self.call_read(&known.release, limit);
             }
-            RecordState::Open | RecordState::Unsure(_) => {}
+            RecordState::Pending | RecordState::Uncertain(_) => {}
         }
     }
 
@@ -251,16 +259,16 @@
                 order,
                 outcome,
                 result,
-            } => self.take_recorded(&order, outcome, result),
+            } => self.apply_recorded(&order, outcome, result),
             DirectorEvent::Read {
                 pool,
                 revision,
                 result,
-            } => self.take_read(&pool, revision, result),
+            } => self.apply_read(&pool, revision, result),
         }
     }
 
-    fn take_recorded(
+    fn apply_recorded(
         &mut self,
         order: &Order,
         outcome: Outcome,
@@ -268,19 +276,19 @@
     ) {
         let log = self.gateway.log();
         let now = self.gateway.clock().now();
-        let course = self.courses.get_mut(&order.pool);
-        let course = course.filter(|course| course.trial.order() == order);
+        let directed = self.directed.get_mut(&order.pool);
+        let directed = directed.filter(|directed| directed.progress.order() == order);
         let failure = match result {
             Ok(Recorded::Written(release)) => {
                 info!(log, "release_recorded"; "pool" => %order.pool, "target" => &order.target,
                     "outcome" => %outcome, "revision" => release.revision);
                 if self.orders.borrow().revision().is_some() {
-                    self.orders.borrow_mut().take_recorded(release);
+                    self.orders.borrow_mut().apply_recorded(release);
                 }
-                if let Some(course) = course {
-                    course.record = RecordState::Settled;
-                    course.has_recorded = true;
-                    course.failures = 0;
+                if let Some(directed) = directed {
+                    directed.record = RecordState::Known;
+                    directed.has_recorded = true;
+                    directed.failures = 0;
                 }
                 return;
             }
@@ -289,36 +297,36 @@
         };
         warn!(log, "release_record_failed"; "pool" => %order.pool, "target" => &order.target,
             "outcome" => %outcome, "error" => failure);
-        if let Some(course) = course {
-            course.record = RecordState::Unsure(now.after(RECORD_PAUSE));
-            course.failures += 1;
+        if let Some(directed) = directed {
+            directed.record = RecordState::Uncertain(now.after(RECORD_RETRY_DELAY));
+            directed.failures += 1;
         }
     }
 
-    fn take_read(
+    fn apply_read(
         &mut self,
         pool: &PoolName,
         revision: u64,
         result: Result<Option<OrderedRelease>, SourceError>,
     ) {
         let now = self.gateway.clock().now();
-        let course = self.courses.get_mut(pool);
+        let directed = self.directed.get_mut(pool);
         match result {
             Ok(release) => {
                 if self.orders.borrow().revision().is_some() {
                     let mut orders = self.orders.borrow_mut();
-                    orders.take_read(pool, revision, release);
+                    orders.apply_read(pool, revision, release);
                 }
-                if let Some(course) = course {
-                    course.record = RecordState::Settled;
+                if let Some(directed) = directed {
+                    directed.record = RecordState::Known;
                 }
             }
             Err(error) => {
                 info!(self.gateway.log(), "release_record_unread"; "pool" => %pool,
                     "error" => %error);
-                if let Some(course) = course {
-                    course.record = RecordState::Unsure(now.after(RECORD_PAUSE));
-                    course.failures += 1;
+                if let Some(directed) = directed {
+                    directed.record = RecordState::Uncertain(now.after(RECORD_RETRY_DELAY));
+                    directed.failures += 1;
                 }
             }
         }
--- a/crates/gateway/src/release/ends.rs
+++ b/crates/gateway/src/release/end_announcement.rs
@@ -4,27 +4,27 @@
 use slog::info;
 
 use super::Orders;
-use super::recorded_grant::{end_grant, withdrawn_grant};
+use super::recorded_grant::{final_grant, withdrawn_grant};
 use crate::gateway::Gateway;
 
 /// Tells nodes of releases that have come to their end by what the source holds, each once: also nodes
 /// that were started since.
-pub(super) fn tell_ends(gateway: &Gateway, orders: &Orders) {
+pub(super) fn announce_ends(gateway: &Gateway, orders: &Orders) {
     let known = gateway.known_grants();
     // A completed release whose engines others have replaced since says nothing any more.
-    let says_nothing = |grant: &Grant| {
+    let is_obsolete = |grant: &Grant| {
         grant.stage == Stage::Completed && !gateway.has_target_engines(&grant.order)
     };
-    let ends = orders.iter().filter_map(end_grant);
-    let ends = ends.filter(|grant| !says_nothing(grant));
+    let ends = orders.iter().filter_map(final_grant);
+    let ends = ends.filter(|grant| !is_obsolete(grant));
     // A grant of a later revision is of an order that this node's copy does not hold yet.
-    let is_gone = |grant: &&Grant| {
+    let is_withdrawn = |grant: &&Grant| {
         let is_known = Some(grant.revision) <= orders.revision();
         is_known && orders.of(&grant.order.pool).is_none() && !grant.stage.is_final()
     };
-    let withdrawn = known.iter().filter(is_gone).map(withdrawn_grant);
+    let withdrawn = known.iter().filter(is_withdrawn).map(withdrawn_grant);
     for grant in ends.chain(withdrawn) {
-        if !is_told(gateway, &grant) {
+        if !is_known_end(gateway, &grant) {
             info!(gateway.log(), "release_ended"; "pool" => %grant.order.pool,
                 "target" => &grant.order.target, "stage" => %grant.stage,
                 "revision" => grant.revision);
@@ -34,10 +34,10 @@
 }
 
 /// Whether this node knows of this end, or of something newer.
-fn is_told(gateway: &Gateway, grant: &Grant) -> bool {
+fn is_known_end(gateway: &Gateway, grant: &Grant) -> bool {
     let known = gateway.known_grant(&grant.order.pool);
     known.is_some_and(|(known, _)| {
-        let is_same_end = known.order == grant.order && known.stage == grant.stage;
-        is_same_end || !grant.supersedes(&known)
+        let has_same_stage = known.order == grant.order && known.stage == grant.stage;
+        has_same_stage || !grant.supersedes(&known)
     })
 }
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -13,7 +13,7 @@
 
 /// A director that still gives grants so long after this node has stopped has seen the same answers and not
 /// decided: news of them take less than a second.
-const STOPPED_FOR: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A release as one node knows it.
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
     /// When the director allowed it, at the latest.
     pub granted_at: Timestamp,
     /// When this node came to know its stage.
-    pub staged_at: Timestamp,
+    pub stage_since: Timestamp,
     /// What this node has sent since it heard of the release.
     pub budget: Budget,
     /// What this node and the others have seen.
@@ -49,7 +49,7 @@
         Self {
             grant,
             granted_at,
-            staged_at: now,
+            stage_since: now,
             budget: Budget::default(),
             evidence: Evidence::default(),
             rejected: BTreeSet::new(),
@@ -63,8 +63,8 @@
 
     /// Whether the grant still holds: a final one does for good, another one for as long as a node may go
     /// without hearing of the director.
-    pub fn is_granted(&self, life: Duration, now: Timestamp) -> bool {
-        self.grant.stage.is_final() || now.since(self.granted_at) < life
+    pub fn is_grant_valid(&self, lifetime: Duration, now: Timestamp) -> bool {
+        self.grant.stage.is_final() || now.since(self.granted_at) < lifetime
     }
 
     /// Whether this node takes the target version to do worse, and the director has not decided.
@@ -75,8 +75,8 @@
     /// The release as this node goes on to direct it.
     pub fn resume(&self, settings: Settings, now: Timestamp) -> Progress {
         let age = now.since(self.granted_at);
-        let trial = Progress::resume(&self.grant, age, settings, now);
-        trial.with_comparison(self.comparison.clone(), self.stopped.clone())
+        let progress = Progress::resume(&self.grant, age, settings, now);
+        progress.with_comparison(self.comparison.clone(), self.stopped.clone())
     }
 
     /// Whether nothing follows.
@@ -90,7 +90,7 @@
     }
 
     /// Takes what a reporter has seen.
-    pub fn absorb(&mut self, reporter: Reporter, origin: Origin, counts: &Counts) {
+    pub fn merge_report(&mut self, reporter: Reporter, origin: Origin, counts: &Counts) {
         self.origins.insert(reporter, origin);
         self.evidence.merge_report(reporter, counts);
     }
@@ -99,15 +99,15 @@
     /// and not by themselves.
     pub fn total(&self, is_large: bool) -> Counts {
         let counted = match is_large {
-            true => [Origin::Near, Origin::Zone],
-            false => [Origin::Near, Origin::Far],
+            true => [Origin::SameZone, Origin::ZoneTotal],
+            false => [Origin::SameZone, Origin::OtherZone],
         };
         self.total_of(&counted)
     }
 
     /// What the nodes of this zone have seen, for the other zones.
     pub fn total_of_zone(&self) -> Counts {
-        self.total_of(&[Origin::Near])
+        self.total_of(&[Origin::SameZone])
     }
 
     fn total_of(&self, counted: &[Origin]) -> Counts {
@@ -138,9 +138,9 @@
     /// news come to nodes in different portions, so scores differ. Were all nodes to stop for good, no
     /// further answers would come, and a version that fails late would be rolled back only after three ramps
     /// (measured in a soak of four nodes: after 24.0 s, with a ramp of 8 s).
-    pub fn reconsider(&mut self) -> bool {
-        let heard_after = self.granted_at.since(self.stopped_at);
-        let is_due = self.grant.stage == Stage::Trial && heard_after >= STOPPED_FOR;
+    pub fn resume_trial(&mut self) -> bool {
+        let grant_delay = self.granted_at.since(self.stopped_at);
+        let is_due = self.grant.stage == Stage::Trial && grant_delay >= STOP_TIMEOUT;
         if self.stopped.is_none() || !is_due {
             return false;
         }
--- a/crates/gateway/src/release/listed_versions.rs
+++ b/crates/gateway/src/release/listed_versions.rs
@@ -13,7 +13,7 @@
 /// calls of the source, and when the node that follows the orders is lost it takes two seconds until another
 /// one has read them. For so long a version that has just appeared gets nothing, since one that is ordered
 /// must not get more than a share.
-const UNORDERED_HOLD: Duration = Duration::from_secs(3);
+const ORDER_WAIT: Duration = Duration::from_secs(3);
 
 /// What the list tells of the engines of one version.
 #[derive(Debug, Clone, Copy)]
@@ -71,10 +71,7 @@
     }
 
     /// All but one.
-    pub fn others_than<'a>(
-        &'a self,
-        version: &'a str,
-    ) -> impl Iterator<Item = &'a SoftwareVersion> {
+    pub fn all_except<'a>(&'a self, version: &'a str) -> impl Iterator<Item = &'a SoftwareVersion> {
         self.iter().filter(move |other| *other != version)
     }
 
@@ -106,9 +103,9 @@
     }
 
     /// Versions that appeared so lately that an order for them may yet come.
-    pub fn held(&self, now: Timestamp) -> BTreeSet<SoftwareVersion> {
-        let is_new = |listed: &Listed| now.since(listed.first_at) < UNORDERED_HOLD;
-        let held = self.0.iter().filter(|(_, listed)| is_new(listed));
-        held.map(|(version, _)| version.clone()).collect()
+    pub fn on_hold(&self, now: Timestamp) -> BTreeSet<SoftwareVersion> {
+        let is_new = |listed: &Listed| now.since(listed.first_at) < ORDER_WAIT;
+        let on_hold = self.0.iter().filter(|(_, listed)| is_new(listed));
+        on_hold.map(|(version, _)| version.clone()).collect()
     }
 }
--- a/crates/gateway/src/release/order_follower.rs
+++ b/crates/gateway/src/release/order_follower.rs
@@ -16,19 +16,19 @@
 use crate::source::{Backoff, FollowSettings, ReleaseBatch, ReleaseStore, SourceError};
 
 /// Time between looks whether this node should follow, and at the versions of engines.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// A node begins when it was the candidate for so long without a break: while nodes come to know each other
 /// several may take themselves for it for a moment.
-const CANDIDATE_FOR: Duration = Duration::from_millis(500);
+const START_DELAY: Duration = Duration::from_millis(500);
 /// It stops when it was not for so long: one failed call to the source changes the candidate for a moment.
-const REPLACED_FOR: Duration = Duration::from_secs(1);
+const STOP_DELAY: Duration = Duration::from_secs(1);
 /// First wait after a failure; doubles up to [`FollowSettings::longest_pause`].
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// Watches begin at least so far apart, to bound the calls: several records may be written in a row, and a
 /// watch may be answered at once.
-const LEAST_SPACING: Duration = Duration::from_millis(250);
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// After failures the source has up to so many times as long to answer: it may be slow and not away.
-const MOST_PATIENCE: u32 = 4;
+const MAX_TIMEOUT_FACTOR: u32 = 4;
 
 /// Follows the orders while this node is the candidate for the lease of orders. No other node does, as orders
 /// change a few times a day.
@@ -74,10 +74,10 @@
             info!(gateway.log(), "release_orders_followed"; "is_followed" => true);
             tokio::select! {
                 () = self.follow() => {}
-                () = until_replaced(&gateway) => {}
+                () = until_not_candidate(&gateway) => {}
             }
             info!(gateway.log(), "release_orders_followed"; "is_followed" => false);
-            self.orders.borrow_mut().forget();
+            self.orders.borrow_mut().clear();
             self.failures = 0;
             gateway.note_release_work(false);
         }
@@ -91,7 +91,7 @@
     }
 
     async fn list_until_done(&mut self) {
-        self.versions = self.present_versions();
+        self.versions = self.listed_versions();
         loop {
             let store = Rc::clone(&self.store);
             let listed = timeout(self.answer_limit(), store.list()).await;
@@ -110,15 +110,15 @@
     }
 
     async fn watch_until_history_gone(&mut self) {
-        let mut is_short = false;
+        let mut is_immediate = false;
         loop {
-            let wait = match is_short || self.failures > 0 {
+            let wait = match is_immediate || self.failures > 0 {
                 true => Duration::ZERO,
                 false => self.settings.watch,
             };
-            is_short = false;
+            is_immediate = false;
             let revision = self.orders.borrow().revision().unwrap_or_default();
-            let asked_at = self.gateway.clock().now();
+            let started_at = self.gateway.clock().now();
             let limit = wait + self.answer_limit();
             let store = Rc::clone(&self.store);
             let answer = tokio::select! {
@@ -126,15 +126,15 @@
                 // An operator orders a version before its engines start, so a watch that has not told of
                 // the order may have fallen silent. The next one is answered at once.
                 () = self.until_new_version(), if !wait.is_zero() => {
-                    is_short = true;
+                    is_immediate = true;
                     continue;
                 }
             };
             match answer.unwrap_or(Err(SourceError::NoAnswer)) {
                 Ok(batch) if batch.revision >= revision => {
                     self.note_answer();
-                    self.take(batch);
-                    self.keep_apart(asked_at).await;
+                    self.apply(batch);
+                    self.wait_min_interval(started_at).await;
                 }
                 Ok(_) | Err(SourceError::HistoryGone) => {
                     info!(self.gateway.log(), "release_history_gone"; "revision" => revision);
@@ -145,7 +145,7 @@
         }
     }
 
-    fn take(&self, batch: ReleaseBatch) {
+    fn apply(&self, batch: ReleaseBatch) {
         self.orders.borrow_mut().apply_batch(batch);
     }
 
@@ -153,25 +153,25 @@
     /// ordered.
     async fn until_new_version(&mut self) {
         loop {
-            sleep(LOOK_INTERVAL).await;
-            let present = self.present_versions();
+            sleep(CHECK_INTERVAL).await;
+            let listed = self.listed_versions();
             let orders = Rc::clone(&self.orders);
             let orders = orders.borrow();
             let is_ordered = |version: &PoolVersion| {
                 let known = orders.of(&version.pool);
                 known.is_some_and(|known| known.release.order.target == version.software)
             };
-            let mut fresh = present.difference(&self.versions);
-            let is_fresh = fresh.any(|version| !is_ordered(version));
+            let mut unseen = listed.difference(&self.versions);
+            let has_unordered = unseen.any(|version| !is_ordered(version));
             let was_empty = self.versions.is_empty();
-            self.versions = present;
-            if is_fresh && !was_empty {
+            self.versions = listed;
+            if has_unordered && !was_empty {
                 return;
             }
         }
     }
 
-    fn present_versions(&self) -> BTreeSet<PoolVersion> {
+    fn listed_versions(&self) -> BTreeSet<PoolVersion> {
         let state = self.gateway.state();
         let engines = state.engines.iter();
         let versions = engines.map(|engine| PoolVersion {
@@ -181,13 +181,13 @@
         versions.collect()
     }
 
-    async fn keep_apart(&self, asked_at: Timestamp) {
-        let taken = self.gateway.clock().now().since(asked_at);
-        sleep(LEAST_SPACING.saturating_sub(taken)).await;
+    async fn wait_min_interval(&self, started_at: Timestamp) {
+        let taken = self.gateway.clock().now().since(started_at);
+        sleep(MIN_WATCH_INTERVAL.saturating_sub(taken)).await;
     }
 
     fn answer_limit(&self) -> Duration {
-        self.settings.answer * (self.failures + 1).min(MOST_PATIENCE)
+        self.settings.answer * (self.failures + 1).min(MAX_TIMEOUT_FACTOR)
     }
 
     fn note_answer(&mut self) {
@@ -203,7 +203,7 @@
         }
         self.failures += 1;
         let backoff = Backoff {
-            first: FIRST_PAUSE,
+            first: MIN_BACKOFF,
             longest: self.settings.longest_pause,
         };
         sleep(backoff.pause_after(self.failures)).await;
@@ -211,25 +211,25 @@
 }
 
 async fn until_candidate(gateway: &Gateway) {
-    until(gateway, CANDIDATE_FOR, || {
+    until_stable(gateway, START_DELAY, || {
         gateway.may_follow_orders() && gateway.knows_order_candidates()
     })
     .await;
 }
 
-async fn until_replaced(gateway: &Gateway) {
-    until(gateway, REPLACED_FOR, || !gateway.may_follow_orders()).await;
+async fn until_not_candidate(gateway: &Gateway) {
+    until_stable(gateway, STOP_DELAY, || !gateway.may_follow_orders()).await;
 }
 
 /// Resolves when something was so at each look for a time.
-async fn until(gateway: &Gateway, span: Duration, is_so: impl Fn() -> bool) {
+async fn until_stable(gateway: &Gateway, span: Duration, holds: impl Fn() -> bool) {
     let mut since = None;
     loop {
         let now = gateway.clock().now();
-        since = is_so().then(|| since.unwrap_or(now));
+        since = holds().then(|| since.unwrap_or(now));
         if since.is_some_and(|since| now.since(since) >= span) {
             return;
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/release/orders.rs
+++ b/crates/gateway/src/release/orders.rs
@@ -45,7 +45,7 @@
         self.known
             .retain(|pool, known| known.release.revision > list.revision || pools.contains(pool));
         for release in list.releases {
-            self.take(release);
+            self.apply(release);
         }
         self.revision = Some(list.revision);
     }
@@ -54,7 +54,7 @@
     pub fn apply_batch(&mut self, batch: ReleaseBatch) {
         for change in batch.changes {
             match change {
-                ReleaseChange::Ordered(release) => self.take(release),
+                ReleaseChange::Ordered(release) => self.apply(release),
                 ReleaseChange::Gone(pool) => self.remove(&pool, batch.revision),
             }
         }
@@ -62,39 +62,39 @@
     }
 
     /// Takes the order of one pool, which was at `revision` when the question was asked.
-    pub fn take_read(&mut self, pool: &PoolName, revision: u64, release: Option<OrderedRelease>) {
+    pub fn apply_read(&mut self, pool: &PoolName, revision: u64, release: Option<OrderedRelease>) {
         match release {
-            Some(release) if self.is_news(&release) => self.take(release),
+            Some(release) if self.is_current(&release) => self.apply(release),
             Some(_) => {}
             None => self.remove(pool, revision),
         }
     }
 
     /// Takes an order as it stood when something was recorded of it.
-    pub fn take_recorded(&mut self, release: OrderedRelease) {
-        if !self.is_news(&release) {
+    pub fn apply_recorded(&mut self, release: OrderedRelease) {
+        if !self.is_current(&release) {
             return;
         }
         match self.known.get_mut(&release.order.pool) {
-            Some(known) => known.take_recorded(release),
-            None => self.take(release),
+            Some(known) => known.apply_recorded(release),
+            None => self.apply(release),
         }
     }
 
     /// Knows nothing any more.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         *self = Self::default();
     }
 
     /// An order that has been removed since must not come back with a late answer.
-    fn is_news(&self, release: &OrderedRelease) -> bool {
+    fn is_current(&self, release: &OrderedRelease) -> bool {
         let is_known = self.known.contains_key(&release.order.pool);
         is_known || Some(release.revision) > self.revision
     }
 
-    fn take(&mut self, release: OrderedRelease) {
+    fn apply(&mut self, release: OrderedRelease) {
         match self.known.get_mut(&release.order.pool) {
-            Some(known) => known.take(release),
+            Some(known) => known.apply(release),
             None => {
                 let pool = pool_of(&release);
                 self.known.insert(pool, KnownOrder::new(release));
--- a/crates/gateway/src/release/origin.rs
+++ b/crates/gateway/src/release/origin.rs
@@ -11,11 +11,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// A node of this zone.
-    Near,
+    SameZone,
     /// A node of another zone.
-    Far,
+    OtherZone,
     /// All nodes of another zone together.
-    Zone,
+    ZoneTotal,
 }
 
 /// Stands for a zone among the reporters.
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -13,22 +13,22 @@
 use slog::{debug, info};
 use tokio::time::{sleep, timeout};
 
-use super::ends::tell_ends;
-use super::heard_orders::tell_heard;
-use super::recorded_grant::{end_grant, unheard_grant, withdrawn_grant};
+use super::end_announcement::announce_ends;
+use super::order_announcement::announce_orders;
+use super::recorded_grant::{final_grant, initial_grant, withdrawn_grant};
 use super::{KnownOrder, Orders};
 use crate::gateway::Gateway;
 use crate::source::{OrderedRelease, ReleaseStore, SourceError};
 
 /// Time between looks whether a grant has run out.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// First read of all orders by a node that misses them, in seconds: others tell most nodes of them before
 /// that.
-const FIRST_LIST_AFTER: Range<f64> = 0.2..0.8;
+const FIRST_LIST_DELAY: Range<f64> = 0.2..0.8;
 /// First read after a grant has run out, in seconds: many nodes may miss their director at once.
-const FIRST_READ_AFTER: Range<f64> = 0.0..1.0;
+const FIRST_READ_DELAY: Range<f64> = 0.0..1.0;
 /// Time between reads, in seconds.
-const READ_AGAIN_AFTER: Range<f64> = 1.0..1.5;
+const RETRY_DELAY: Range<f64> = 1.0..1.5;
 
 /// Reads what is recorded of a release whose director is not heard: by what the source holds, the operator
 /// may have stopped the present engines, or the target version must get nothing more. A node that was just
@@ -49,17 +49,17 @@
     /// Reads whenever a grant has run out, until dropped.
     pub(super) async fn run(mut self) {
         loop {
-            sleep(LOOK_INTERVAL).await;
-            if self.is_list_due() {
+            sleep(CHECK_INTERVAL).await;
+            if self.should_read_all() {
                 self.read_all().await;
             }
-            for grant in self.due() {
+            for grant in self.due_grants() {
                 self.read(&grant).await;
             }
         }
     }
 
-    fn is_list_due(&mut self) -> bool {
+    fn should_read_all(&mut self) -> bool {
         if !self.gateway.lacks_orders() {
             self.next_list = None;
             return false;
@@ -67,10 +67,10 @@
         let now = self.gateway.clock().now();
         let at = self
             .next_list
-            .get_or_insert_with(|| now.after(random(FIRST_LIST_AFTER)));
+            .get_or_insert_with(|| now.after(random_delay(FIRST_LIST_DELAY)));
         let is_due = *at <= now;
         if is_due {
-            *at = now.after(random(READ_AGAIN_AFTER));
+            *at = now.after(random_delay(RETRY_DELAY));
         }
         is_due
     }
@@ -84,34 +84,34 @@
                     "orders" => list.releases.len());
                 let mut orders = Orders::default();
                 orders.apply_list(list);
-                tell_heard(&self.gateway, &orders);
-                tell_ends(&self.gateway, &orders);
+                announce_orders(&self.gateway, &orders);
+                announce_ends(&self.gateway, &orders);
                 self.gateway.note_orders_known();
             }
             Err(error) => info!(log, "release_orders_unread"; "error" => %error),
         }
     }
 
-    fn due(&mut self) -> Vec<Grant> {
+    fn due_grants(&mut self) -> Vec<Grant> {
         // A node that follows the orders knows their records.
         let is_following = self.orders.borrow().revision().is_some();
-        let mut lapsed = match is_following {
+        let mut expired = match is_following {
             true => Vec::new(),
             false => self.gateway.expired_grants(),
         };
         self.next_reads
-            .retain(|pool, _| lapsed.iter().any(|grant| grant.order.pool == *pool));
+            .retain(|pool, _| expired.iter().any(|grant| grant.order.pool == *pool));
         let now = self.gateway.clock().now();
-        lapsed.retain(|grant| {
+        expired.retain(|grant| {
             let next_read = self.next_reads.entry(grant.order.pool.clone());
-            let at = next_read.or_insert_with(|| now.after(random(FIRST_READ_AFTER)));
+            let at = next_read.or_insert_with(|| now.after(random_delay(FIRST_READ_DELAY)));
             let is_due = *at <= now;
             if is_due {
-                *at = now.after(random(READ_AGAIN_AFTER));
+                *at = now.after(random_delay(RETRY_DELAY));
             }
             is_due
         });
-        lapsed
+        expired
     }
 
     async fn read(&self, grant: &Grant) {
@@ -120,13 +120,13 @@
         let pool = &grant.order.pool;
         match read.unwrap_or(Err(SourceError::NoAnswer)) {
             Ok(release) => {
-                let Some(found) = found(grant, release) else {
+                let Some(changed) = changed_grant(grant, release) else {
                     debug!(log, "release_record_read"; "pool" => %pool, "stage" => "open");
                     return;
                 };
-                info!(log, "release_record_read"; "pool" => %pool, "target" => &found.order.target,
-                    "stage" => %found.stage, "before" => %grant.stage, "revision" => found.revision);
-                self.gateway.apply_recorded_grant(found);
+                info!(log, "release_record_read"; "pool" => %pool, "target" => &changed.order.target,
+                    "stage" => %changed.stage, "before" => %grant.stage, "revision" => changed.revision);
+                self.gateway.apply_recorded_grant(changed);
             }
             Err(error) => {
                 info!(log, "release_record_unread"; "pool" => %pool, "error" => %error);
@@ -136,16 +136,16 @@
 }
 
 /// What the source's answer changes for a node whose grant has run out.
-fn found(grant: &Grant, release: Option<OrderedRelease>) -> Option<Grant> {
+fn changed_grant(grant: &Grant, release: Option<OrderedRelease>) -> Option<Grant> {
     let Some(release) = release else {
         return Some(withdrawn_grant(grant));
     };
     let is_other = release.order != grant.order;
     let known = KnownOrder::new(release);
-    let other = is_other.then(|| unheard_grant(&known.release));
-    end_grant(&known).or(other)
+    let other = is_other.then(|| initial_grant(&known.release));
+    final_grant(&known).or(other)
 }
 
-fn random(seconds: Range<f64>) -> Duration {
+fn random_delay(seconds: Range<f64>) -> Duration {
     Duration::from_secs_f64(rand::rng().random_range(seconds))
 }
--- a/crates/gateway/src/release/record_state.rs
+++ b/crates/gateway/src/release/record_state.rs
@@ -6,10 +6,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordState {
     /// No call is open, and the outcome of the last one is known.
-    Settled,
+    Known,
     /// A call is open.
-    Open,
+    Pending,
     /// A call had no answer, or met a change: at this time or later the order is read, before anything else
     /// is written.
-    Unsure(Timestamp),
+    Uncertain(Timestamp),
 }
--- a/crates/gateway/src/release/stage_log.rs
+++ b/crates/gateway/src/release/stage_log.rs
@@ -7,37 +7,37 @@
 use crate::gateway::Gateway;
 
 /// A release has come to another stage.
-pub(super) fn note_stage(
+pub(super) fn log_stage(
     gateway: &Gateway,
-    trial: &Progress,
+    progress: &Progress,
     before: Stage,
     fleet: &Fleet,
     counts: &Counts,
     now: Timestamp,
 ) {
-    let (log, order) = (gateway.log(), trial.order());
+    let (log, order) = (gateway.log(), progress.order());
     let (target, present) = (counts.target(), counts.present());
     info!(log, "release_stage"; "pool" => %order.pool, "target" => &order.target,
-        "from" => %before, "to" => %trial.stage(),
-        "elapsed_ms" => trial.elapsed(now).as_millis() as u64,
-        "share" => trial.grant(0, 0, 0, now).share,
+        "from" => %before, "to" => %progress.stage(),
+        "elapsed_ms" => progress.elapsed(now).as_millis() as u64,
+        "share" => progress.grant(0, 0, 0, now).share,
         "target_answers" => target.answers, "target_failed" => target.failed,
         "target_slow" => target.slow, "present_answers" => present.answers,
         "present_failed" => present.failed, "present_slow" => present.slow,
         "target_engines" => fleet.target, "present_engines" => fleet.present,
         "running_at_present" => fleet.running_at_present);
-    if let Some(rollback) = trial.rollback() {
+    if let Some(rollback) = progress.rollback() {
         warn!(log, "release_verdict"; "pool" => %order.pool, "target" => &order.target,
-            "verdict" => %trial.stage(), "why" => %rollback);
+            "verdict" => %progress.stage(), "why" => %rollback);
     }
-    let stage = trial.stage().to_string();
+    let stage = progress.stage().to_string();
     let labels = [order.pool.as_str(), &order.target, &stage];
     let stages = &gateway.metrics().release_stages;
     stages.with_label_values(&labels).inc();
 }
 
 /// The answers of both versions so far.
-pub(super) fn note_answers(gateway: &Gateway, order: &Order, counts: &Counts) {
+pub(super) fn record_answers(gateway: &Gateway, order: &Order, counts: &Counts) {
     let answers = &gateway.metrics().release_answers;
     for (version, tally) in [("target", counts.target()), ("present", counts.present())] {
         let good = tally.answers.saturating_sub(tally.bad());
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -8,7 +8,7 @@
     CountKey, EngineKey, Grant, Judgement, PRESENT, SoftwareVersion, Stage, key_of,
 };
 
-use super::{AnswerTiming, KnownRelease, Paces};
+use super::{AnswerTiming, KnownRelease, TypicalTimes};
 
 /// The releases that a node knows: the newest of each pool.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     /// release then has no order.
     pub knows_orders: bool,
     /// How long the present versions' answers take.
-    pub paces: Paces,
+    pub typical_times: TypicalTimes,
     /// Pools whose stage every node is to be told of at once.
     pub urgent: BTreeSet<PoolName>,
     /// Versions that each pool's requests may go to without a grant, as of the last look.
@@ -28,7 +28,7 @@
 impl Table {
     /// Takes a grant that the director gave at `granted_at`, at the latest; `false` when a newer one of the
     /// same pool is known.
-    pub fn take(&mut self, grant: Grant, granted_at: Timestamp, now: Timestamp) -> bool {
+    pub fn apply(&mut self, grant: Grant, granted_at: Timestamp, now: Timestamp) -> bool {
         let pool = grant.order.pool.clone();
         let Some(known) = self.releases.get_mut(&pool) else {
             let known = KnownRelease::new(grant, granted_at, now);
@@ -44,13 +44,13 @@
             return false;
         }
         if known.grant.order != grant.order {
-            let shut = shut_by(known, &grant.order.target);
+            let rejected = rejected_versions(known, &grant.order.target);
             *known = KnownRelease::new(grant, granted_at, now);
-            known.rejected = shut;
+            known.rejected = rejected;
             return true;
         }
         if known.grant.stage != grant.stage {
-            known.staged_at = now;
+            known.stage_since = now;
         }
         known.grant = grant;
         known.granted_at = granted_at;
@@ -84,17 +84,17 @@
     }
 
     /// Counts an answer in the release of its pool, unless that has come to its end.
-    pub fn note(&mut self, watch: &AnswerTiming, judgement: Judgement) {
-        let known = self.releases.get_mut(&watch.pool);
+    pub fn note(&mut self, timing: &AnswerTiming, judgement: Judgement) {
+        let known = self.releases.get_mut(&timing.pool);
         let Some(known) = known.filter(|known| !known.is_final()) else {
             return;
         };
-        let engine: EngineKey = match watch.software == known.grant.order.target {
-            true => key_of(watch.engine.as_str()),
+        let engine: EngineKey = match timing.software == known.grant.order.target {
+            true => key_of(timing.engine.as_str()),
             false => PRESENT,
         };
         let cell = CountKey {
-            route: watch.route,
+            route: timing.route,
             engine,
         };
         known.evidence.note(cell, judgement);
@@ -110,13 +110,13 @@
 }
 
 /// What stays out of use when another order takes the place of one.
-fn shut_by(former: &KnownRelease, target: &str) -> BTreeSet<SoftwareVersion> {
-    let mut shut = former.rejected.clone();
+fn rejected_versions(former: &KnownRelease, target: &str) -> BTreeSet<SoftwareVersion> {
+    let mut rejected = former.rejected.clone();
     // A version that was still under trial is as unproven as one whose order was taken back.
     let is_under_trial = matches!(former.grant.stage, Stage::Trial | Stage::Shifting);
     if former.is_rejected() || is_under_trial {
-        shut.insert(former.grant.order.target.clone());
+        rejected.insert(former.grant.order.target.clone());
     }
-    shut.remove(target);
-    shut
+    rejected.remove(target);
+    rejected
 }
--- a/crates/gateway/src/release/paces.rs
+++ b/crates/gateway/src/release/typical_times.rs
@@ -15,7 +15,7 @@
 const UNREAD_CLASSES: [u32; 3] = [512, 2_048, 8_192];
 /// Most estimates that are kept: routes that were dropped leave theirs behind. Beyond it all are
 /// forgotten and learnt anew.
-const MOST_ESTIMATES: usize = 1_024;
+const MAX_MEDIANS: usize = 1_024;
 
 /// What part of an answer is timed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -46,17 +46,17 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct PaceKey {
+struct TimeKey {
     pool: u32,
     route: RouteKey,
     part: TimedPart,
 }
 
-impl PaceKey {
-    fn new(watch: &AnswerTiming, part: TimedPart) -> Self {
+impl TimeKey {
+    fn new(timing: &AnswerTiming, part: TimedPart) -> Self {
         Self {
-            pool: key_of(watch.pool.as_str()),
-            route: watch.route,
+            pool: key_of(timing.pool.as_str()),
+            route: timing.route,
             part,
         }
     }
@@ -64,22 +64,22 @@
 
 /// How long parts of the present versions' answers take on each route, lately.
 #[derive(Debug, Default)]
-pub struct Paces {
-    medians: HashMap<PaceKey, LogMedian>,
+pub struct TypicalTimes {
+    medians: HashMap<TimeKey, LogMedian>,
 }
 
-impl Paces {
+impl TypicalTimes {
     /// Whether a part of an answer took several times as long as it usually does.
-    pub fn is_slow(&self, watch: &AnswerTiming, part: TimedPart, took: Duration) -> bool {
-        let median = self.medians.get(&PaceKey::new(watch, part));
+    pub fn is_slow(&self, timing: &AnswerTiming, part: TimedPart, took: Duration) -> bool {
+        let median = self.medians.get(&TimeKey::new(timing, part));
         let usual = median.and_then(LogMedian::get);
         usual.is_some_and(|usual| took > usual.mul_f64(SLOW_FACTOR))
     }
 
     /// A part of an answer of the present version took so long.
-    pub fn note(&mut self, watch: &AnswerTiming, part: TimedPart, took: Duration) {
-        let key = PaceKey::new(watch, part);
-        if self.medians.len() >= MOST_ESTIMATES && !self.medians.contains_key(&key) {
+    pub fn note(&mut self, timing: &AnswerTiming, part: TimedPart, took: Duration) {
+        let key = TimeKey::new(timing, part);
+        if self.medians.len() >= MAX_MEDIANS && !self.medians.contains_key(&key) {
             self.medians.clear();
         }
         let known = self.medians.entry(key);
--- a/crates/gateway/tests/release_orders.rs
+++ b/crates/gateway/tests/release_orders.rs
@@ -289,10 +289,10 @@
         changes: vec![ReleaseChange::Gone("a".into())],
         revision: 9,
     });
-    orders.take_recorded(release("v2", 8));
-    orders.take_read(&"a".into(), 5, Some(release("v2", 5)));
+    orders.apply_recorded(release("v2", 8));
+    orders.apply_read(&"a".into(), 5, Some(release("v2", 5)));
     assert!(orders.of(&"a".into()).is_none());
-    orders.take_read(&"a".into(), 5, Some(release("v2", 10)));
+    orders.apply_read(&"a".into(), 5, Some(release("v2", 10)));
     assert!(orders.of(&"a".into()).is_some());
 }
 
@@ -303,7 +303,7 @@
         releases: vec![release("v2", 5)],
         revision: 6,
     });
-    orders.take_recorded(release("v3", 9));
+    orders.apply_recorded(release("v3", 9));
     orders.apply_batch(ReleaseBatch {
         changes: vec![
             ReleaseChange::Ordered(release("v2", 7)),
