--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -31,8 +31,8 @@
             return Admission::to(EngineFilter::Any);
         };
         let state = self.state();
-        let gate = self.gate(&state, settings, self.clock().now());
-        gate.admission(pool, id, tried)
+        let policy = self.policy(&state, settings, self.clock().now());
+        policy.admission(pool, id, tried)
     }
 
     /// The engines that take the requests of a pool as a whole, leaving aside the share of a trial.
@@ -45,10 +45,10 @@
         let Some(settings) = &self.settings().releases else {
             return EngineFilter::Any;
         };
-        EngineFilter::except(self.gate(state, settings, now).idle_versions(pool))
+        EngineFilter::except(self.policy(state, settings, now).idle_versions(pool))
     }
 
-    fn gate<'a>(
+    fn policy<'a>(
         &self,
         state: &'a GatewayState,
         settings: &'a Settings,
@@ -214,11 +214,11 @@
         settings: &Settings,
         now: Timestamp,
     ) -> BTreeMap<PoolName, BTreeSet<SoftwareVersion>> {
-        let gate = self.gate(state, settings, now);
+        let policy = self.policy(state, settings, now);
         let mut in_use: BTreeMap<PoolName, BTreeSet<SoftwareVersion>> = BTreeMap::new();
         let pools: BTreeSet<&PoolName> = state.engines.iter().map(|e| &e.entry.pool).collect();
         for pool in pools {
-            let open = gate.open_versions(pool);
+            let open = policy.open_versions(pool);
             in_use.insert(pool.clone(), open);
         }
         in_use
--- a/crates/gateway/src/release/admission.rs
+++ b/crates/gateway/src/release/admission.rs
@@ -1,28 +1,29 @@
-//! Where a request may go.
+//! The engines that a request may be sent to.
 
 use super::EngineFilter;
 use crate::engines::EngineEntry;
 use crate::placement::UnhealthyEngines;
 
-/// Where a request may go: to some engines, and when none of them serves to others.
+/// The engines that a request may be sent to, and the engines to use if none of those is available.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admission {
-    /// The engines that it is for.
+    /// The preferred engines.
     pub first: EngineFilter,
-    /// When none of those serves, these; without them the request gets no engine.
+    /// The engines to use if none of the preferred ones is available; if `None`, the request gets no engine.
     pub fallback: Option<EngineFilter>,
-    /// Whether it goes to engines that fail requests: a version that isn't known to be good needs none.
+    /// Whether the request may be sent to engines that fail requests. They are excluded for a version under
+    /// trial, which is not known to be good.
     pub unhealthy: UnhealthyEngines,
 }
 
 impl Admission {
-    /// Whether an engine may get the request, first or after others.
+    /// Whether an engine may get the request, as a preferred or a fallback engine.
     pub fn admits(&self, entry: &EngineEntry) -> bool {
         let fallback = self.fallback.as_ref();
         self.first.admits(entry) || fallback.is_some_and(|fallback| fallback.admits(entry))
     }
 
-    /// To these engines or to none.
+    /// Admits the request to `first` only.
     pub fn to(first: EngineFilter) -> Self {
         Self {
             first,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// To these engines, else to others.
+    /// Admits the request to `first`, or to `fallback` if no engine of `first` is available.
     pub fn with_fallback(first: EngineFilter, fallback: EngineFilter) -> Self {
         Self {
             first,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The same, but engines that fail requests are passed over.
+    /// Like [`Self::with_fallback`], but excludes engines that fail requests.
     pub fn on_trial(first: EngineFilter, fallback: EngineFilter) -> Self {
         Self {
             unhealthy: UnhealthyEngines::Excluded,
--- a/crates/gateway/src/release/admission_policy.rs
+++ b/crates/gateway/src/release/admission_policy.rs
@@ -11,32 +11,33 @@
 use super::{Admission, EngineFilter, KnownRelease, ListedVersions, Table};
 use crate::engines::{Engine, EngineTable};
 
-/// A node that was just started takes the version of the oldest engines for the present one until it
-/// knows the orders, so long at most: by then a director has been found and has read them. A source that
-/// does not answer for longer must not keep engines idle that replace others without an order.
+/// Maximum time after its start for which a node that does not know the orders takes the version of the oldest
+/// engines for the present one. Within this time a director is normally found and has read the orders. If the
+/// source does not answer for longer, engines that replace others without an order must not stay idle.
 const ORDERS_TIMEOUT: Duration = Duration::from_secs(10);
-/// Draws of a request that decide other things are independent of the one that decides its version.
+/// Seed of the hash that decides the version of a request, so that it is independent of other decisions made by
+/// a hash of the request.
 const DRAW_SEED: u64 = 0x7265_6c65_6173_6573;
 
-/// Decides which engines of a pool may take a request, by the newest grant.
+/// Decides which engines of a pool may take a request, according to the newest grant.
 #[derive(Debug)]
 pub struct AdmissionPolicy<'a> {
-    /// How releases are bounded.
+    /// Limits for releases.
     pub settings: &'a Settings,
-    /// What is known of releases.
+    /// Known releases.
     pub table: &'a Table,
     /// All engines.
     pub engines: &'a EngineTable,
-    /// Nodes that there may be, with this one.
+    /// Number of nodes that may be running, including this one.
     pub nodes: usize,
     /// How long this process has been running.
     pub uptime: Duration,
-    /// Now.
+    /// Time of the decision.
     pub now: Timestamp,
 }
 
 impl AdmissionPolicy<'_> {
-    /// Where a request goes that was sent to these engines before.
+    /// Returns the engines that the request `id` may be sent to, after attempts on the engines `tried`.
     pub fn admission(&self, pool: &PoolName, id: &str, tried: &[BackEndName]) -> Admission {
         let versions = ListedVersions::of(self.engines, pool);
         match self.table.of(pool) {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Versions that get none or few of a pool's requests: only the engines of the others count as the
-    /// pool's capacity.
+    /// Versions that get few or none of a pool's requests. Only the engines of the other versions count towards the
+    /// capacity of the pool.
     pub fn idle_versions(&self, pool: &PoolName) -> BTreeSet<SoftwareVersion> {
         let versions = ListedVersions::of(self.engines, pool);
         let Some(known) = self.table.of(pool) else {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Versions that requests of a pool may go to without a grant.
+    /// Versions that requests of a pool may be sent to without a valid grant.
     pub fn open_versions(&self, pool: &PoolName) -> BTreeSet<SoftwareVersion> {
         let versions = ListedVersions::of(self.engines, pool);
         let known = self.table.of(pool);
@@ -92,7 +93,7 @@
             }
             Stage::Completed => self.after_completion(known, versions),
             _ if !self.has_present_engines(known) && !known.is_stopped() => {
-                // There is nothing to compare the target version with, and no other engine.
+                // There is no other engine, and thus nothing to compare the target version with.
                 Admission::to(EngineFilter::except(known.rejected.clone()))
             }
             _ if self.may_go_to_target(known, id, tried) => {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Whether a request goes to the target version of a release that has not come to its end.
+    /// Whether a request goes to the target version of a release that has not ended.
     fn may_go_to_target(&self, known: &KnownRelease, id: &str, tried: &[BackEndName]) -> bool {
         let grant = &known.grant;
         let lifetime = self.settings.grant_lifetime();
@@ -118,15 +119,15 @@
         }
     }
 
-    /// A request that failed at the target version gets the present one: it must not fail twice for a
-    /// version that is not known to be good.
+    /// Whether an attempt was made on an engine of the target version. Such a request is retried on the present
+    /// version: it must not fail twice because of a version that is not known to be good.
     fn has_tried_target(&self, known: &KnownRelease, tried: &[BackEndName]) -> bool {
         let tried = tried.iter().filter_map(|name| self.engines.get(name));
         let mut versions = tried.map(|engine| &engine.entry.software);
         versions.any(|version| *version == known.grant.order.target)
     }
 
-    /// The engines of the target version that the grant names.
+    /// The engines of the target version that the grant allows.
     fn target_engines(&self, known: &KnownRelease) -> EngineFilter {
         let order = &known.grant.order;
         let of_pool = self.engines.of_pool(&order.pool);
@@ -143,7 +144,8 @@
         EngineFilter::Only(names.collect())
     }
 
-    /// When no engine of the target version serves: in the trial the present version's; later any.
+    /// The engines to use if no engine of the target version is available: those of the present version before the
+    /// stage `Settling`, and all that are not rejected in it.
     fn fallback(&self, known: &KnownRelease, versions: &ListedVersions) -> EngineFilter {
         match known.grant.stage {
             Stage::Settling => EngineFilter::except(known.rejected.clone()),
@@ -151,6 +153,7 @@
         }
     }
 
+    /// The engines of the present versions, without versions on hold unless no other version is left.
     fn present_engines(&self, known: &KnownRelease, versions: &ListedVersions) -> EngineFilter {
         let closed = self.closed_versions(known);
         let is_any_open = |closed: &BTreeSet<SoftwareVersion>| {
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Whether an engine of another version takes work by its own word.
+    /// Whether any engine of a present version is not shutting down, as far as the engines themselves report.
     fn has_present_engines(&self, known: &KnownRelease) -> bool {
         let order = &known.grant.order;
         let of_pool = self.engines.of_pool(&order.pool);
@@ -173,14 +176,15 @@
         versions.any(|version| *version != order.target && !known.rejected.contains(version))
     }
 
+    /// The target version and the rejected versions.
     fn closed_versions(&self, known: &KnownRelease) -> BTreeSet<SoftwareVersion> {
         let mut closed = known.rejected.clone();
         closed.insert(known.grant.order.target.clone());
         closed
     }
 
-    /// Engines of the versions before stop at once. Others that come later replace the target version's
-    /// without an order.
+    /// Admission after a release is completed. Engines of the replaced versions get no more requests.
+    /// Engines of other versions that appear later replace those of the target version without an order.
     fn after_completion(&self, known: &KnownRelease, versions: &ListedVersions) -> Admission {
         let target = &known.grant.order.target;
         let mut of_pool = self.engines.of_pool(&known.grant.order.pool);
@@ -195,7 +199,7 @@
         Admission::to(EngineFilter::except(closed))
     }
 
-    /// No order is known for the pool.
+    /// Admission to a pool for which no order is known.
     fn without_release(&self, versions: &ListedVersions) -> Admission {
         if versions.is_uniform() {
             return Admission::to(EngineFilter::Any);
@@ -208,7 +212,8 @@
             }
             _ => on_hold,
         };
-        // No version is known to be bad, and a node always serves.
+        // No version is known to be bad, so the closed ones serve as a fallback: a request must not fail for
+        // lack of an order.
         match closed.is_empty() {
             true => Admission::to(EngineFilter::Any),
             false => Admission::with_fallback(EngineFilter::except(closed), EngineFilter::Any),
@@ -216,7 +221,7 @@
     }
 }
 
-/// A number from 0 to 1 that is spread evenly over requests.
+/// Hashes a request ID to a number between 0 and 1, uniformly distributed over requests.
 fn draw_of(request_id: &str) -> f64 {
     xxh3_64_with_seed(request_id.as_bytes(), DRAW_SEED) as f64 / u64::MAX as f64
 }
--- a/crates/gateway/src/release/answer_timing.rs
+++ b/crates/gateway/src/release/answer_timing.rs
@@ -1,4 +1,4 @@
-//! What is seen of one answer.
+//! Timing of one answer.
 
 use std::time::Duration;
 
@@ -8,61 +8,64 @@
 
 use super::{TimedPart, TypicalTimes};
 
-/// With fewer events the time between them says little.
+/// The time between events is not a meaningful measure with fewer events than this.
 const MIN_EVENTS: u32 = 4;
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// The answer came to its end.
+    /// The answer was received completely.
     Complete {
-        /// Whether it tells how long answers take: a refusal for the request's own fault comes sooner.
+        /// Whether the request succeeded. Only then does the time count as typical: an engine rejects an invalid
+        /// request sooner than it answers a valid one.
         is_success: bool,
     },
-    /// It was an error of the engine's own, broke off, or was not an answer.
+    /// The engine reported an error of its own, the answer broke off, or it was malformed.
     Failed,
-    /// Nobody waited for its end: the caller left, or its time ran out.
+    /// The answer was not awaited to its end: the caller disconnected, or a timeout expired.
     Abandoned,
     /// The engine did not run the request.
     NotRun,
 }
 
-/// What is seen of one answer of an engine, from sending the request on.
+/// Timing of one answer of an engine, starting when the request is sent.
 #[derive(Debug, Clone)]
 pub struct AnswerTiming {
-    /// The pool.
+    /// Pool of the engine.
     pub pool: PoolName,
-    /// The route.
+    /// Route of the request; answers are compared within a route.
     pub route: RouteKey,
-    /// The engine.
+    /// The engine that answers.
     pub engine: BackEndName,
-    /// Version of its software.
+    /// Version of the engine's software.
     pub software: SoftwareVersion,
-    /// Whether it is slow from its start, so that the time says nothing of its version.
+    /// Whether the engine was started recently and may still be slow for that reason, so that the time says
+    /// nothing about its version.
     pub is_cold: bool,
     /// Whether the answer is a stream.
     pub is_stream: bool,
-    /// Prompt tokens that it has to read (estimate).
+    /// Estimated number of prompt tokens that the engine has to process (those not in its cache).
     pub unread_tokens: u32,
     /// When the request was sent.
     pub sent_at: Timestamp,
-    /// When the first event came.
+    /// When the first event was received.
     pub first_event_at: Option<Timestamp>,
-    /// Events after the first.
+    /// Number of events after the first.
     pub events: u32,
-    /// How long those were waited for, in all: a caller that takes its time is not counted.
+    /// Total time spent waiting for the events after the first. Time in which a slow caller delays reading is
+    /// not included.
     pub waited: Duration,
-    /// Since when one is waited for now.
+    /// Start of the current wait for an event, if one is awaited.
     pub waiting_since: Option<Timestamp>,
 }
 
 impl AnswerTiming {
-    /// The next bytes of a stream are waited for.
+    /// Records that the next bytes of a stream are awaited.
     pub fn begin_wait(&mut self, now: Timestamp) {
         self.waiting_since = Some(now);
     }
 
-    /// They came, or nobody waits any more.
+    /// Records that the awaited bytes were received or are no longer awaited.
     pub fn end_wait(&mut self, now: Timestamp) {
         let since = self.waiting_since.take();
         if let Some(since) = since.filter(|_| self.first_event_at.is_some()) {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// So many whole events came.
+    /// Records that `count` complete events were received.
     pub fn note_events(&mut self, count: u32, now: Timestamp) {
         if self.first_event_at.is_none() {
             self.first_event_at = Some(now);
@@ -79,57 +82,47 @@
         }
     }
 
-    /// How the answer is judged; `None` when its end says nothing of its engine.
-    pub fn judge(
-        &self,
-        end: AnswerEnd,
-        typical_times: &TypicalTimes,
-        now: Timestamp,
-    ) -> Option<Judgement> {
-        let is_slow = || !self.is_cold && self.is_slow(typical_times, now);
+    /// Returns the judgement on the answer; `None` if its end says nothing about the engine.
+    pub fn judge(&self, end: AnswerEnd, times: &TypicalTimes, now: Timestamp) -> Option<Judgement> {
+        let is_slow = || !self.is_cold && self.is_slow(times, now);
         match end {
             AnswerEnd::NotRun => None,
             AnswerEnd::Failed => Some(Judgement::Failed),
             AnswerEnd::Complete { .. } if is_slow() => Some(Judgement::Slow),
             AnswerEnd::Complete { .. } => Some(Judgement::Good),
-            // One that hangs is left in the end.
+            // The caller of an engine that hangs disconnects eventually, so a slow abandoned answer counts.
             AnswerEnd::Abandoned => is_slow().then_some(Judgement::Slow),
         }
     }
 
-    /// Takes the times of a present version's answer into what is usual.
-    pub fn update_typical_times(
-        &self,
-        end: AnswerEnd,
-        typical_times: &mut TypicalTimes,
-        now: Timestamp,
-    ) {
+    /// Updates the typical times with the times of this answer, which must be one of the present version.
+    pub fn update_typical_times(&self, end: AnswerEnd, times: &mut TypicalTimes, now: Timestamp) {
         let is_usable = match end {
             AnswerEnd::Complete { is_success } => is_success,
-            // When all become slow, what is usual rises.
-            AnswerEnd::Abandoned => self.is_slow(typical_times, now),
+            // Slow abandoned answers count, so that the typical time rises when all answers become slow.
+            AnswerEnd::Abandoned => self.is_slow(times, now),
             AnswerEnd::Failed | AnswerEnd::NotRun => false,
         };
         if !is_usable || self.is_cold {
             return;
         }
         let (part, took) = self.first_part(now);
-        typical_times.note(self, part, took);
+        times.note(self, part, took);
         if self.events >= MIN_EVENTS {
-            typical_times.note(self, TimedPart::Event, self.time_between_events());
+            times.note(self, TimedPart::Event, self.time_between_events());
         }
     }
 
-    fn is_slow(&self, typical_times: &TypicalTimes, now: Timestamp) -> bool {
+    fn is_slow(&self, times: &TypicalTimes, now: Timestamp) -> bool {
         let (part, took) = self.first_part(now);
-        if typical_times.is_slow(self, part, took) {
+        if times.is_slow(self, part, took) {
             return true;
         }
-        // Streams of which hardly anything came are compared as if some more had come by now.
-        typical_times.is_slow(self, TimedPart::Event, self.time_between_events())
+        // A stream with fewer than `MIN_EVENTS` events is compared as if it had received that many.
+        times.is_slow(self, TimedPart::Event, self.time_between_events())
     }
 
-    /// What of the answer was waited for at first, and how long.
+    /// The first timed part of the answer and the time that it has taken so far.
     fn first_part(&self, now: Timestamp) -> (TimedPart, Duration) {
         let until = self.first_event_at.unwrap_or(now);
         let part = match self.is_stream {
--- a/crates/gateway/src/release/directed_release.rs
+++ b/crates/gateway/src/release/directed_release.rs
@@ -1,4 +1,4 @@
-//! One release under direction.
+//! A release that this node directs.
 
 use std::time::Duration;
 
@@ -7,21 +7,23 @@
 
 use super::RecordState;
 
-/// Least time between two equal grants. With the director's tick they come every third of a second, which is
-/// short against the life of a grant: nodes that miss two in a row still hear the next in time.
+/// Minimum time between two equal grants. Because the director checks only once per tick, equal grants are sent
+/// about every third of a second. This is short compared with the lifetime of a grant: a node that misses two in
+/// a row still receives the next in time.
 const GRANT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One release under direction: its stages, what nodes were told last, and how its record stands.
+/// A release that this node directs: its progress, the last grant sent to the nodes, and the state of its
+/// record in the source.
 #[derive(Debug, Clone)]
 pub struct DirectedRelease {
-    /// The stages.
+    /// Progress through the stages.
     pub progress: Progress,
-    /// How its record stands.
+    /// State of the record in the source.
     pub record: RecordState,
-    /// Calls for the record that failed in a row.
+    /// Number of consecutive failed calls for the record.
     pub failures: u32,
-    /// Whether this director has recorded anything. A record of the director before may still be carried out
-    /// late, until the order has another revision: this one's first record sees to that.
+    /// Whether this director has recorded an outcome. A late write of the previous director may still be applied
+    /// until the revision of the order changes, which the first write of this director brings about.
     pub has_recorded: bool,
     last_sent: Option<SentGrant>,
 }
@@ -33,7 +35,7 @@
 }
 
 impl DirectedRelease {
-    /// A release of which nothing was told yet.
+    /// A release for which no grant has been sent yet.
     pub fn new(progress: Progress) -> Self {
         Self {
             progress,
@@ -44,21 +46,21 @@
         }
     }
 
-    /// What the record should be now.
+    /// The outcome that the record should contain now.
     fn outcome(&self) -> Outcome {
-        // An order that stands again after it was taken back: its target version gets nothing for good.
+        // The order was withdrawn and then restored: its target version gets no more requests.
         let outcome = self.progress.stage().outcome();
         outcome.unwrap_or(Outcome::RolledBack)
     }
 
-    /// What is to be written when the source holds `recorded`; `None` when nothing is.
+    /// The outcome to write if the source contains `recorded`; `None` if nothing has to be written.
     pub fn next_record(&self, recorded: Option<Outcome>) -> Option<Outcome> {
         let outcome = self.outcome();
         let is_written = self.has_recorded && recorded == Some(outcome);
         (!is_written).then_some(outcome)
     }
 
-    /// The next grant, when it is time for one.
+    /// The next grant, if one is due.
     pub fn next_grant(
         &mut self,
         revision: u64,
@@ -68,8 +70,8 @@
     ) -> Option<Grant> {
         let mut grant = self.progress.grant(revision, fence, number, now);
         if grant.stage == Stage::Completed {
-            // The present engines stop once the source holds the record. Until then nodes only know that
-            // all new requests move.
+            // The operator stops the present engines once the source contains the record. Until then the
+            // nodes only learn that all new requests go to the target version.
             grant.stage = Stage::Settling;
         }
         if !self.is_due(&grant, now) {
--- a/crates/gateway/src/release/director.rs
+++ b/crates/gateway/src/release/director.rs
@@ -1,4 +1,4 @@
-//! Directing releases; see docs/design/releases.md.
+//! Directs releases; see docs/design/releases.md.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,16 +23,18 @@
 use crate::gateway::Gateway;
 use crate::source::{FollowSettings, OrderedRelease, Recorded, ReleaseStore, SourceError};
 
-/// Time between looks at the evidence: a version whose answers are bad must get nothing more after a few
-/// seconds, and this look is one part of that time, beside the way of answers and of grants.
+/// Interval at which the evidence is evaluated. A version whose answers are bad must get no more requests after
+/// a few seconds; this interval is part of that time, as is the time in which reports of answers and grants reach
+/// the nodes.
 const TICK: Duration = Duration::from_millis(100);
-/// Wait after a call for a record that failed.
+/// Delay after a failed call for a record.
 const RECORD_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// After failures the source has up to so many times as long to answer: it may be slow and not away.
+/// Maximum factor by which consecutive failures lengthen the timeout for an answer of the source, which may be
+/// slow rather than unavailable.
 const MAX_TIMEOUT_FACTOR: u32 = 4;
 
-/// Directs releases while this node holds the lease of orders; until dropped, and not at all where there are
-/// no bounds of releases.
+/// Directs releases while this node holds the order lease, until the future is dropped. Returns at once if the
+/// settings of the gateway contain none for releases.
 pub async fn run_releases(
     gateway: Rc<Gateway>,
     store: Rc<dyn ReleaseStore>,
@@ -74,11 +76,11 @@
     gateway: Rc<Gateway>,
     store: Rc<dyn ReleaseStore>,
     release_settings: release::Settings,
-    /// Time for an answer of the source.
+    /// Timeout for an answer of the source.
     answer: Duration,
     orders: Rc<RefCell<Orders>>,
     directed: BTreeMap<PoolName, DirectedRelease>,
-    /// Grants given so far.
+    /// Number of grants sent so far.
     grants: u64,
     sender: UnboundedSender<DirectorEvent>,
 }
@@ -110,7 +112,7 @@
         self.gateway.note_release_work(orders.has_open());
         match self.gateway.valid_order_fence() {
             Some(fence) => self.direct(&orders, fence),
-            // The grants run out by themselves, and whoever holds the lease next goes on with them.
+            // The grants expire by themselves, and the next holder of the lease resumes the releases.
             None => {
                 self.directed.clear();
                 announce_orders(&self.gateway, &orders);
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Releases whose orders the operator has taken back.
+    /// Ends the releases whose orders the operator has withdrawn.
     fn withdraw(&mut self, orders: &Orders, fence: u64, now: Timestamp) {
         let revision = orders.revision().unwrap_or_default();
         for (pool, directed) in &mut self.directed {
@@ -157,8 +159,8 @@
         }
     }
 
-    /// A release that this node has not directed, or not without a break: what nodes still know of it goes
-    /// on.
+    /// Starts to direct a release that this node has not directed so far, or not without interruption. The release
+    /// resumes from what this node knows of it.
     fn start(&self, release: &OrderedRelease, now: Timestamp) -> DirectedRelease {
         let order = &release.order;
         let release_settings = self.release_settings.clone();
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Brings the record to what the release has come to.
+    /// Updates the record in the source to the outcome of the release.
     fn record(&mut self, known: &KnownOrder, now: Timestamp) {
         let order = &known.release.order;
         let Some(directed) = self.directed.get_mut(&order.pool) else {
@@ -292,7 +294,7 @@
                 }
                 return;
             }
-            Ok(Recorded::Conflict) => "changed since it was read".to_owned(),
+            Ok(Recorded::Conflict) => "the order has changed since it was read".to_owned(),
             Err(error) => error.to_string(),
         };
         warn!(log, "release_record_failed"; "pool" => %order.pool, "target" => &order.target,
--- a/crates/gateway/src/release/director_event.rs
+++ b/crates/gateway/src/release/director_event.rs
@@ -1,20 +1,20 @@
-//! What the director's calls to the source brought.
+//! Results of the director's calls to the source.
 
 use ryerouter_core::identity::PoolName;
 use ryerouter_core::release::{Order, Outcome};
 
 use crate::source::{OrderedRelease, Recorded, SourceError};
 
-/// What the director's calls to the source brought.
+/// Result of a call of the director to the source.
 #[derive(Debug)]
 pub(super) enum DirectorEvent {
-    /// An outcome was to be recorded.
+    /// A call to record an outcome ended.
     Recorded {
         order: Order,
         outcome: Outcome,
         result: Result<Recorded, SourceError>,
     },
-    /// The order of a pool was read, which was known at `revision` before.
+    /// A call to read the order of a pool ended; `revision` is the known revision of the order when it was made.
     Read {
         pool: PoolName,
         revision: u64,
--- a/crates/gateway/src/release/end_announcement.rs
+++ b/crates/gateway/src/release/end_announcement.rs
@@ -1,4 +1,4 @@
-//! Telling nodes of releases that have come to their end.
+//! Announces the end of releases to the nodes.
 
 use ryerouter_core::release::{Grant, Stage};
 use slog::info;
@@ -7,17 +7,17 @@
 use super::recorded_grant::{final_grant, withdrawn_grant};
 use crate::gateway::Gateway;
 
-/// Tells nodes of releases that have come to their end by what the source holds, each once: also nodes
-/// that were started since.
+/// Announces each release that has ended according to the source, unless this node already knows its end. The
+/// announcement also reaches nodes that were started since.
 pub(super) fn announce_ends(gateway: &Gateway, orders: &Orders) {
     let known = gateway.known_grants();
-    // A completed release whose engines others have replaced since says nothing any more.
+    // A completed release has no effect once other engines have replaced those of its target version.
     let is_obsolete = |grant: &Grant| {
         grant.stage == Stage::Completed && !gateway.has_target_engines(&grant.order)
     };
     let ends = orders.iter().filter_map(final_grant);
     let ends = ends.filter(|grant| !is_obsolete(grant));
-    // A grant of a later revision is of an order that this node's copy does not hold yet.
+    // A grant with a later revision belongs to an order that this node's copy does not contain yet.
     let is_withdrawn = |grant: &&Grant| {
         let is_known = Some(grant.revision) <= orders.revision();
         is_known && orders.of(&grant.order.pool).is_none() && !grant.stage.is_final()
@@ -33,7 +33,7 @@
     }
 }
 
-/// Whether this node knows of this end, or of something newer.
+/// Whether this node already knows this end of the release, or a newer grant of the pool.
 fn is_known_end(gateway: &Gateway, grant: &Grant) -> bool {
     let known = gateway.known_grant(&grant.order.pool);
     known.is_some_and(|(known, _)| {
--- a/crates/gateway/src/release/engine_filter.rs
+++ b/crates/gateway/src/release/engine_filter.rs
@@ -1,4 +1,4 @@
-//! Which engines of a pool may take a request.
+//! Selects the engines of a pool that may get a request.
 
 use std::collections::BTreeSet;
 
@@ -7,19 +7,19 @@
 
 use crate::engines::EngineEntry;
 
-/// Which engines of a pool may take a request, as far as releases are concerned.
+/// Selects the engines of a pool that may get a request, as far as releases are concerned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineFilter {
-    /// All of them.
+    /// All engines.
     Any,
-    /// These.
+    /// Only these engines.
     Only(BTreeSet<BackEndName>),
-    /// All but those of these versions.
+    /// All engines except those of these versions.
     Except(BTreeSet<SoftwareVersion>),
 }
 
 impl EngineFilter {
-    /// All but the engines of these versions.
+    /// Selects all engines except those of `versions`.
     pub fn except(versions: BTreeSet<SoftwareVersion>) -> Self {
         match versions.is_empty() {
             true => Self::Any,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether an engine may take the request.
+    /// Whether an engine may get the request.
     pub fn admits(&self, entry: &EngineEntry) -> bool {
         match self {
             Self::Any => true,
--- a/crates/gateway/src/release/known_order.rs
+++ b/crates/gateway/src/release/known_order.rs
@@ -7,14 +7,14 @@
 /// An order as the director knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownOrder {
-    /// The order and its record, as the source last told.
+    /// The order and its record, as last received from the source.
     pub release: OrderedRelease,
-    /// Whether the record is that of an order before, as this node saw the order change and the record stay.
+    /// Whether the record belongs to an earlier order: this node saw the order change and the record stay the same.
     is_record_stale: bool,
 }
 
 impl KnownOrder {
-    /// An order that is seen for the first time: a record of its target version is taken for its own.
+    /// An order that is seen for the first time. A record of the same target version is assumed to belong to it.
     pub fn new(release: OrderedRelease) -> Self {
         Self {
             release,
@@ -22,20 +22,20 @@
         }
     }
 
-    /// What is recorded of this order.
+    /// The outcome recorded for this order.
     pub fn recorded(&self) -> Option<Outcome> {
         let record = self.release.record.as_ref()?;
         let is_own = record.target == self.release.order.target && !self.is_record_stale;
         is_own.then_some(record.outcome)
     }
 
-    /// Whether the order has not come to its end.
+    /// Whether the release has not ended.
     pub fn is_open(&self) -> bool {
         let recorded = self.recorded();
         recorded.is_none_or(|outcome| outcome == Outcome::Running)
     }
 
-    /// Takes what the source told later; what it told earlier is passed over.
+    /// Applies a version of the order received from the source, unless it is older than the known one.
     pub fn apply(&mut self, release: OrderedRelease) {
         if release.revision < self.release.revision {
             return;
@@ -46,7 +46,8 @@
         self.release = release;
     }
 
-    /// Takes the order as it stood when something was recorded of it.
+    /// Applies the version of the order that resulted from recording its outcome, unless it is older than the known
+    /// one.
     pub fn apply_recorded(&mut self, release: OrderedRelease) {
         if release.revision < self.release.revision {
             return;
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -11,8 +11,8 @@
 
 use super::Origin;
 
-/// A director that still gives grants so long after this node has stopped has seen the same answers and not
-/// decided: news of them take less than a second.
+/// If the director still sends grants this long after this node has stopped, it has seen the same answers without
+/// deciding against the version: reports of answers reach it in less than a second.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A release as one node knows it.
@@ -20,31 +20,31 @@
 pub struct KnownRelease {
     /// The newest grant.
     pub grant: Grant,
-    /// When the director allowed it, at the latest.
+    /// Latest time at which the director can have issued the grant.
     pub granted_at: Timestamp,
-    /// When this node came to know its stage.
+    /// When this node learned of the current stage.
     pub stage_since: Timestamp,
-    /// What this node has sent since it heard of the release.
+    /// Budget for requests to the target version, charged since this node learned of the release.
     pub budget: Budget,
-    /// What this node and the others have seen.
+    /// Answers counted by this node and by others.
     pub evidence: Evidence,
-    /// Other versions that get nothing: they were rolled back or withdrawn before, or were still under trial
+    /// Other versions that get no requests: they were rolled back or withdrawn earlier, or were still under trial
     /// when this release was ordered.
     pub rejected: BTreeSet<SoftwareVersion>,
     /// Versions that the completed release has replaced.
     pub replaced: BTreeSet<SoftwareVersion>,
-    /// Who the reporters of the ledger are.
+    /// Origin of each reporter in the evidence.
     origins: BTreeMap<Reporter, Origin>,
-    /// What the answers that this node knows of say.
+    /// Comparison of both versions by the answers that this node knows of.
     comparison: Comparison,
-    /// Why this node sends nothing to the target version any more, before the director's verdict.
+    /// Why this node has stopped sending requests to the target version ahead of the director's verdict.
     stopped: Option<Rollback>,
     /// When this node stopped last.
     stopped_at: Timestamp,
 }
 
 impl KnownRelease {
-    /// A release that was just heard of.
+    /// A release that this node has just learned of.
     pub fn new(grant: Grant, granted_at: Timestamp, now: Timestamp) -> Self {
         Self {
             grant,
@@ -61,25 +61,25 @@
         }
     }
 
-    /// Whether the grant still holds: a final one does for good, another one for as long as a node may go
-    /// without hearing of the director.
+    /// Whether the grant is still valid: a final one without limit, another one for `lifetime`, the maximum time that
+    /// a node may go on without a grant from the director.
     pub fn is_grant_valid(&self, lifetime: Duration, now: Timestamp) -> bool {
         self.grant.stage.is_final() || now.since(self.granted_at) < lifetime
     }
 
-    /// Whether this node takes the target version to do worse, and the director has not decided.
+    /// Whether this node has found the target version worse while the director has not decided.
     pub fn is_stopped(&self) -> bool {
         self.stopped.is_some() && !self.grant.stage.is_final()
     }
 
-    /// The release as this node goes on to direct it.
+    /// The progress of the release with which this node takes over as its director.
     pub fn resume(&self, settings: Settings, now: Timestamp) -> Progress {
         let age = now.since(self.granted_at);
         let progress = Progress::resume(&self.grant, age, settings, now);
         progress.with_comparison(self.comparison.clone(), self.stopped.clone())
     }
 
-    /// Whether nothing follows.
+    /// Whether the release has ended.
     pub fn is_final(&self) -> bool {
         self.grant.stage.is_final()
     }
@@ -89,14 +89,14 @@
         matches!(self.grant.stage, Stage::RolledBack | Stage::Withdrawn)
     }
 
-    /// Takes what a reporter has seen.
+    /// Merges the counts received from a reporter.
     pub fn merge_report(&mut self, reporter: Reporter, origin: Origin, counts: &Counts) {
         self.origins.insert(reporter, origin);
         self.evidence.merge_report(reporter, counts);
     }
 
-    /// What all nodes have seen. With many nodes those of other zones count in the sums of their zones,
-    /// and not by themselves.
+    /// Answers counted by all nodes. With many nodes (`is_large`), other zones contribute the total of the zone rather
+    /// than the counts of each node.
     pub fn total(&self, is_large: bool) -> Counts {
         let counted = match is_large {
             true => [Origin::SameZone, Origin::ZoneTotal],
@@ -105,7 +105,7 @@
         self.total_of(&counted)
     }
 
-    /// What the nodes of this zone have seen, for the other zones.
+    /// Answers counted by the nodes of this zone, for reports to other zones.
     pub fn total_of_zone(&self) -> Counts {
         self.total_of(&[Origin::SameZone])
     }
@@ -116,10 +116,10 @@
         self.evidence.total_of(is_counted)
     }
 
-    /// Takes all answers so far; tells why this node stops sending to the target version, the moment
-    /// that it does. It does not wait for the director, who may be lost. A node that has stopped goes on in
-    /// the stage settling once the answers since have cleared the version: the present engines stop when
-    /// the release is completed, and would break off what this node still sent there.
+    /// Evaluates all answers so far; returns the reason if this node stops sending requests to the target version
+    /// now. The node does not wait for the director, which may have failed. In the stage `Settling` a node that has
+    /// stopped resumes once later answers allow the shift: the present engines stop when the release is
+    /// completed, and requests that this node still sent to them would break off.
     pub fn observe(&mut self, total: &Counts, engines: usize, now: Timestamp) -> Option<&Rollback> {
         self.comparison.observe(total, self.grant.stage, now);
         if self.stopped.is_some() {
@@ -134,10 +134,10 @@
         self.stopped.as_ref()
     }
 
-    /// Goes on with the trial when the director has had time to see the same answers and has not decided:
-    /// news come to nodes in different portions, so scores differ. Were all nodes to stop for good, no
-    /// further answers would come, and a version that fails late would be rolled back only after three ramps
-    /// (measured in a soak of four nodes: after 24.0 s, with a ramp of 8 s).
+    /// Resumes the trial if the director has had time to see the same answers and has not decided; returns whether it
+    /// does. Scores differ between nodes because reports arrive in different batches. If all nodes stopped for good,
+    /// no further answers would come, and a version that fails late would be rolled back only after three ramps
+    /// (24.0 s with a ramp of 8 s, measured in a soak test of four nodes).
     pub fn resume_trial(&mut self) -> bool {
         let grant_delay = self.granted_at.since(self.stopped_at);
         let is_due = self.grant.stage == Stage::Trial && grant_delay >= STOP_TIMEOUT;
--- a/crates/gateway/src/release/listed_versions.rs
+++ b/crates/gateway/src/release/listed_versions.rs
@@ -1,4 +1,4 @@
-//! Versions of software that a pool's engines have.
+//! Software versions of a pool's listed engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::engines::{Engine, EngineTable};
 
-/// The list of engines may tell of a version before the order for it arrives: the two come by different
-/// calls of the source, and when the node that follows the orders is lost it takes two seconds until another
-/// one has read them. For so long a version that has just appeared gets nothing, since one that is ordered
-/// must not get more than a share.
+/// Time after its first appearance in which a version gets no requests, since an order for it may follow and an
+/// ordered version must not get more than its share. The list of engines may contain a version before its order
+/// arrives: the two come by different calls to the source, and if the node that follows the orders fails, it
+/// takes two seconds until another one has read them.
 const ORDER_WAIT: Duration = Duration::from_secs(3);
 
-/// What the list tells of the engines of one version.
+/// Summary of the listed engines of one version.
 #[derive(Debug, Clone, Copy)]
 struct Listed {
     engines: usize,
@@ -40,12 +40,12 @@
     }
 }
 
-/// Versions of software that a pool's engines have.
+/// Software versions of a pool's listed engines.
 #[derive(Debug, Clone, Default)]
 pub struct ListedVersions(BTreeMap<SoftwareVersion, Listed>);
 
 impl ListedVersions {
-    /// Those of a pool.
+    /// Collects the versions of a pool.
     pub fn of(engines: &EngineTable, pool: &PoolName) -> Self {
         let mut versions: BTreeMap<SoftwareVersion, Listed> = BTreeMap::new();
         for engine in engines.of_pool(pool) {
@@ -65,28 +65,28 @@
         self.0.contains_key(version)
     }
 
-    /// All of them, in order of their names.
+    /// All versions, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &SoftwareVersion> {
         self.0.keys()
     }
 
-    /// All but one.
+    /// All versions except `version`, ordered by name.
     pub fn all_except<'a>(&'a self, version: &'a str) -> impl Iterator<Item = &'a SoftwareVersion> {
         self.iter().filter(move |other| *other != version)
     }
 
-    /// Whether they are of one version.
+    /// Whether there is at most one version.
     pub fn is_uniform(&self) -> bool {
         self.0.len() <= 1
     }
 
-    /// The version of the oldest engine: in a pool that is being moved the present one. Where no engine
-    /// tells its age, the version that most engines have.
+    /// The version of the oldest engine, which during a release is normally the present one. If the age of no engine
+    /// is known, the version with the most engines.
     pub fn oldest(&self) -> Option<&SoftwareVersion> {
         let by_age = self.0.iter().filter(|(_, listed)| listed.oldest.is_some());
         let oldest = by_age.min_by_key(|(_, listed)| listed.oldest);
         let most = || {
-            // Of several the first by name.
+            // Of several with equal counts, `min_by_key` returns the first by name.
             let rank =
                 |(_, listed): &(&SoftwareVersion, &Listed)| std::cmp::Reverse(listed.engines);
             self.0.iter().min_by_key(rank)
@@ -94,15 +94,15 @@
         oldest.or_else(most).map(|(version, _)| version)
     }
 
-    /// Whether all engines of a version began after the oldest one of another; `false` when the age of
-    /// either is not known.
+    /// Whether all engines of `version` were started after the oldest one of `other`; `false` if the age of either is
+    /// not known.
     pub fn is_newer(&self, version: &str, other: &str) -> bool {
         let oldest = |version| self.0.get(version).and_then(|listed| listed.oldest);
         let other = oldest(other);
         other.is_some_and(|other| oldest(version).is_some_and(|oldest| oldest > other))
     }
 
-    /// Versions that appeared so lately that an order for them may yet come.
+    /// Versions that appeared so recently that an order for them may still arrive.
     pub fn on_hold(&self, now: Timestamp) -> BTreeSet<SoftwareVersion> {
         let is_new = |listed: &Listed| now.since(listed.first_at) < ORDER_WAIT;
         let on_hold = self.0.iter().filter(|(_, listed)| is_new(listed));
--- a/crates/gateway/src/release/log_median.rs
+++ b/crates/gateway/src/release/log_median.rs
@@ -1,17 +1,17 @@
-//! The median of a time that is measured again and again.
+//! Running median of a repeatedly measured duration.
 
 use std::time::Duration;
 
-/// Values until the median is used: with fewer a single slow answer could pass for what is usual.
+/// Number of values from which the median is used: with fewer, one slow answer could count as typical.
 const MIN_VALUES: u32 = 8;
-/// Each value moves the median by this much at least, as a share of itself: it follows a change of load
+/// Lower bound of the maximum relative change of the median per value; with it the median follows a change of load
 /// within some tens of answers.
 const MIN_STEP: f64 = 0.03;
-/// Shorter times count as this long: they are not measured more exactly, and zero has no logarithm.
+/// Shorter times are rounded up to this value: the measurement is no more precise, and zero has no logarithm.
 const MIN_TIME: Duration = Duration::from_micros(100);
 
-/// The median of a time that is measured again and again, tracked by its logarithm: each value moves it
-/// a little up or down, however far off it is, since answers have heavy tails.
+/// Running median of a repeatedly measured duration, tracked on a logarithmic scale. The step per value is
+/// limited, however far off the value is, since the distribution of answer times has a heavy tail.
 #[derive(Debug, Clone, Copy)]
 pub struct LogMedian {
     log: f64,
@@ -19,7 +19,7 @@
 }
 
 impl LogMedian {
-    /// After the first value.
+    /// Starts with a first value.
     pub fn first(value: Duration) -> Self {
         Self {
             log: log_of(value),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes another value in.
+    /// Updates the median with another value.
     pub fn note(&mut self, value: Duration) {
         self.values = self.values.saturating_add(1);
         let difference = log_of(value) - self.log;
@@ -35,7 +35,7 @@
         self.log += difference.clamp(-step, step);
     }
 
-    /// The median, once enough was seen.
+    /// The median, once there are enough values.
     pub fn get(&self) -> Option<Duration> {
         let is_settled = self.values >= MIN_VALUES;
         is_settled.then(|| Duration::from_secs_f64(self.log.exp()))
--- a/crates/gateway/src/release/mod.rs
+++ b/crates/gateway/src/release/mod.rs
@@ -1,5 +1,6 @@
-//! What a node knows and does of releases of engine software; the decisions are in
-//! [`ryerouter_core::release`], the account in docs/design/releases.md.
+//! Rollout of new versions of engine software: which versions a node sends requests to, what it records about
+//! their answers, and how a release is directed. [`ryerouter_core::release`] makes the decisions;
+//! docs/design/releases.md describes the design.
 
 mod admission;
 mod admission_policy;
--- a/crates/gateway/src/release/order_announcement.rs
+++ b/crates/gateway/src/release/order_announcement.rs
@@ -1,4 +1,4 @@
-//! Telling nodes of orders that nobody directs yet.
+//! Announces orders that no node directs yet.
 
 use slog::info;
 
@@ -6,9 +6,10 @@
 use super::{KnownOrder, Orders};
 use crate::gateway::Gateway;
 
-/// Tells nodes of open orders while this node has no lease to direct them by: it may take long to get when
-/// the source is slow, refuses, or waits for a lost holder's lease to end. Until nodes know of the order they
-/// take the engines of its version for ones that nobody ordered, and send them a full part of the requests.
+/// Announces open orders to the nodes while this node does not hold the lease that it needs to direct them.
+/// Acquiring the lease may take long if the source is slow, refuses, or waits for the lease of a failed node to
+/// expire. Until the nodes know of the order they treat the engines of its target version as engines that need no
+/// order, and send them a full share of the requests.
 pub(super) fn announce_orders(gateway: &Gateway, orders: &Orders) {
     let open = orders.iter().filter(|known| KnownOrder::is_open(known));
     for grant in open.map(|known| initial_grant(&known.release)) {
--- a/crates/gateway/src/release/order_follower.rs
+++ b/crates/gateway/src/release/order_follower.rs
@@ -1,4 +1,4 @@
-//! Following the orders of releases.
+//! Follows the release orders in the source.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -15,23 +15,25 @@
 use crate::gateway::Gateway;
 use crate::source::{Backoff, FollowSettings, ReleaseBatch, ReleaseStore, SourceError};
 
-/// Time between looks whether this node should follow, and at the versions of engines.
+/// Interval at which the node checks whether it should follow the orders, and which versions its engines run.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A node begins when it was the candidate for so long without a break: while nodes come to know each other
-/// several may take themselves for it for a moment.
+/// A node starts to follow the orders after it has been the candidate for this long without interruption. While
+/// nodes are discovering each other, several may briefly consider themselves the candidate.
 const START_DELAY: Duration = Duration::from_millis(500);
-/// It stops when it was not for so long: one failed call to the source changes the candidate for a moment.
+/// A node stops following after it has not been the candidate for this long: one failed call to the source
+/// changes the candidate briefly.
 const STOP_DELAY: Duration = Duration::from_secs(1);
-/// First wait after a failure; doubles up to [`FollowSettings::longest_pause`].
+/// First delay after a failure; doubles up to [`FollowSettings::longest_pause`].
 const MIN_BACKOFF: Duration = Duration::from_millis(60);
-/// Watches begin at least so far apart, to bound the calls: several records may be written in a row, and a
-/// watch may be answered at once.
+/// Minimum time between the starts of two watches, which limits the rate of calls: several records may be written
+/// in a row, and a watch may be answered at once.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(250);
-/// After failures the source has up to so many times as long to answer: it may be slow and not away.
+/// Maximum factor by which consecutive failures lengthen the timeout for an answer of the source, which may be
+/// slow rather than unavailable.
 const MAX_TIMEOUT_FACTOR: u32 = 4;
 
-/// Follows the orders while this node is the candidate for the lease of orders. No other node does, as orders
-/// change a few times a day.
+/// Follows the orders while this node is the candidate for the order lease. One follower is enough, as orders
+/// change only a few times a day.
 pub(super) struct OrderFollower {
     gateway: Rc<Gateway>,
     store: Rc<dyn ReleaseStore>,
@@ -49,7 +51,7 @@
 }
 
 impl OrderFollower {
-    /// Follows nothing yet.
+    /// Creates a follower, which does nothing until [`Self::run`] is called.
     pub(super) fn new(
         gateway: Rc<Gateway>,
         store: Rc<dyn ReleaseStore>,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Follows whenever this node should, until dropped.
+    /// Follows the orders whenever this node is the candidate, until the future is dropped.
     pub(super) async fn run(mut self) {
         let gateway = Rc::clone(&self.gateway);
         loop {
@@ -123,8 +125,8 @@
             let store = Rc::clone(&self.store);
             let answer = tokio::select! {
                 answer = timeout(limit, store.watch(revision, wait)) => answer,
-                // An operator orders a version before its engines start, so a watch that has not told of
-                // the order may have fallen silent. The next one is answered at once.
+                // An operator orders a version before its engines start, so a watch that has not reported the
+                // order may have lost its connection. The next watch asks for an immediate answer.
                 () = self.until_new_version(), if !wait.is_zero() => {
                     is_immediate = true;
                     continue;
@@ -149,8 +151,7 @@
         self.orders.borrow_mut().apply_batch(batch);
     }
 
-    /// Resolves when engines run a version that is new in their pool and that nobody is known to have
-    /// ordered.
+    /// Resolves when engines run a version that is new in their pool and for which no order is known.
     async fn until_new_version(&mut self) {
         loop {
             sleep(CHECK_INTERVAL).await;
@@ -221,7 +222,7 @@
     until_stable(gateway, STOP_DELAY, || !gateway.may_follow_orders()).await;
 }
 
-/// Resolves when something was so at each look for a time.
+/// Resolves when the condition has held at every check for `span`.
 async fn until_stable(gateway: &Gateway, span: Duration, holds: impl Fn() -> bool) {
     let mut since = None;
     loop {
--- a/crates/gateway/src/release/orders.rs
+++ b/crates/gateway/src/release/orders.rs
@@ -1,4 +1,4 @@
-//! The orders in the source, as the director knows them.
+//! The director's copy of the orders in the source.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 use super::KnownOrder;
 use crate::source::{OrderedRelease, ReleaseBatch, ReleaseChange, ReleaseList};
 
-/// The orders in the source, as the director knows them.
+/// The director's copy of the orders in the source.
 ///
-/// Lists, watches, reads and the answers to records arrive in any order: of two that tell of one pool the
-/// one with the higher revision counts.
+/// Results of lists, watches, reads and record calls may arrive in any order. If two concern the same pool, the one
+/// with the higher revision applies.
 #[derive(Debug, Clone, Default)]
 pub struct Orders {
     known: BTreeMap<PoolName, KnownOrder>,
-    /// All changes up to here are known; `None` before the first list.
+    /// Revision up to which all changes are known; `None` before the first list.
     revision: Option<u64>,
 }
 
 impl Orders {
-    /// All changes up to here are known; `None` before the first list.
+    /// Revision up to which all changes are known; `None` before the first list.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
@@ -29,17 +29,17 @@
         self.known.get(pool)
     }
 
-    /// All orders, by pool.
+    /// All orders, ordered by pool.
     pub fn iter(&self) -> impl Iterator<Item = &KnownOrder> {
         self.known.values()
     }
 
-    /// Whether an order has not come to its end.
+    /// Whether any order belongs to a release that has not ended.
     pub fn has_open(&self) -> bool {
         self.iter().any(KnownOrder::is_open)
     }
 
-    /// Takes all orders.
+    /// Applies a complete list of the orders.
     pub fn apply_list(&mut self, list: ReleaseList) {
         let pools: Vec<_> = list.releases.iter().map(pool_of).collect();
         self.known
@@ -50,7 +50,7 @@
         self.revision = Some(list.revision);
     }
 
-    /// Takes changes.
+    /// Applies a batch of changes.
     pub fn apply_batch(&mut self, batch: ReleaseBatch) {
         for change in batch.changes {
             match change {
@@ -61,7 +61,8 @@
         self.revision = self.revision.max(Some(batch.revision));
     }
 
-    /// Takes the order of one pool, which was at `revision` when the question was asked.
+    /// Applies the result of reading the order of one pool; `revision` is the known revision of the order when the
+    /// call was made.
     pub fn apply_read(&mut self, pool: &PoolName, revision: u64, release: Option<OrderedRelease>) {
         match release {
             Some(release) if self.is_current(&release) => self.apply(release),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes an order as it stood when something was recorded of it.
+    /// Applies the version of an order that resulted from recording its outcome.
     pub fn apply_recorded(&mut self, release: OrderedRelease) {
         if !self.is_current(&release) {
             return;
@@ -81,12 +82,13 @@
         }
     }
 
-    /// Knows nothing any more.
+    /// Removes all orders and the revision.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// An order that has been removed since must not come back with a late answer.
+    /// Whether the order still exists as far as known: a late answer must not restore an order that was removed in the
+    /// meantime.
     fn is_current(&self, release: &OrderedRelease) -> bool {
         let is_known = self.known.contains_key(&release.order.pool);
         is_known || Some(release.revision) > self.revision
--- a/crates/gateway/src/release/origin.rs
+++ b/crates/gateway/src/release/origin.rs
@@ -1,24 +1,24 @@
-//! Who reports answers.
+//! Origin of reported counts of answers.
 
 use ryerouter_core::identity::ZoneName;
 use ryerouter_core::release::Reporter;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Set in the keys of zones: those of nodes are incarnations of 32 bits.
+/// Set in the keys of zones, to tell them from those of nodes, which are incarnations of 32 bits.
 const ZONE_BIT: Reporter = 1 << 63;
 
-/// Who a reporter of answers is.
+/// Origin of reported counts of answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// A node of this zone.
     SameZone,
     /// A node of another zone.
     OtherZone,
-    /// All nodes of another zone together.
+    /// All nodes of another zone, added up.
     ZoneTotal,
 }
 
-/// Stands for a zone among the reporters.
+/// Computes the key that identifies a zone as a reporter.
 pub fn zone_reporter(zone: &ZoneName) -> Reporter {
     xxh3_64(zone.as_str().as_bytes()) | ZONE_BIT
 }
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -1,4 +1,4 @@
-//! Reading what is recorded of a release whose director is not heard.
+//! Reads the records of releases whose director sends no grants.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,33 +20,33 @@
 use crate::gateway::Gateway;
 use crate::source::{OrderedRelease, ReleaseStore, SourceError};
 
-/// Time between looks whether a grant has run out.
+/// Interval at which expired grants are looked for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// First read of all orders by a node that misses them, in seconds: others tell most nodes of them before
-/// that.
+/// Delay before a node that lacks the orders first reads them all, in seconds. Most nodes receive them from others
+/// before that.
 const FIRST_LIST_DELAY: Range<f64> = 0.2..0.8;
-/// First read after a grant has run out, in seconds: many nodes may miss their director at once.
+/// Delay before the first read after a grant has expired, in seconds; random because many nodes may lose their
+/// director at once.
 const FIRST_READ_DELAY: Range<f64> = 0.0..1.0;
-/// Time between reads, in seconds.
+/// Delay between reads, in seconds.
 const RETRY_DELAY: Range<f64> = 1.0..1.5;
 
-/// Reads what is recorded of a release whose director is not heard: by what the source holds, the operator
-/// may have stopped the present engines, or the target version must get nothing more. A node that was just
-/// started, and lists engines of several versions before anybody has told it of orders, reads all orders:
-/// which version is under trial can't be told from the engines' ages when the present ones have been
-/// replaced since.
+/// Reads the record of a release whose director sends no grants. According to the record, the operator may have
+/// stopped the present engines, or the target version may have to get no more requests. A node that was just
+/// started and lists engines of several versions before it has received any orders reads all orders: the ages of
+/// the engines don't show which version is under trial if the present engines have been replaced since.
 pub(super) struct RecordReader {
     pub(super) gateway: Rc<Gateway>,
     pub(super) store: Rc<dyn ReleaseStore>,
     pub(super) answer: Duration,
     pub(super) orders: Rc<RefCell<Orders>>,
     pub(super) next_reads: BTreeMap<PoolName, Timestamp>,
-    /// When all orders are to be read, once they are missed.
+    /// When all orders are to be read next; `None` while they are not lacking.
     pub(super) next_list: Option<Timestamp>,
 }
 
 impl RecordReader {
-    /// Reads whenever a grant has run out, until dropped.
+    /// Reads records whenever grants have expired, until the future is dropped.
     pub(super) async fn run(mut self) {
         loop {
             sleep(CHECK_INTERVAL).await;
@@ -93,7 +93,7 @@
     }
 
     fn due_grants(&mut self) -> Vec<Grant> {
-        // A node that follows the orders knows their records.
+        // A node that follows the orders already knows their records.
         let is_following = self.orders.borrow().revision().is_some();
         let mut expired = match is_following {
             true => Vec::new(),
@@ -135,7 +135,7 @@
     }
 }
 
-/// What the source's answer changes for a node whose grant has run out.
+/// The grant that follows from the source's answer for a node whose grant has expired; `None` if nothing changes.
 fn changed_grant(grant: &Grant, release: Option<OrderedRelease>) -> Option<Grant> {
     let Some(release) = release else {
         return Some(withdrawn_grant(grant));
--- a/crates/gateway/src/release/record_state.rs
+++ b/crates/gateway/src/release/record_state.rs
@@ -1,15 +1,15 @@
-//! How a record stands.
+//! State of the record of an order.
 
 use ryerouter_core::Timestamp;
 
-/// How far the record of an order is written.
+/// State of the director's calls to write the record of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordState {
-    /// No call is open, and the outcome of the last one is known.
+    /// No call is pending, and the result of the last one is known.
     Known,
-    /// A call is open.
+    /// A call is pending.
     Pending,
-    /// A call had no answer, or met a change: at this time or later the order is read, before anything else
-    /// is written.
+    /// A call got no answer, failed, or found that the order had changed. The order is read at this time or later,
+    /// before anything else is written.
     Uncertain(Timestamp),
 }
--- a/crates/gateway/src/release/recorded_grant.rs
+++ b/crates/gateway/src/release/recorded_grant.rs
@@ -1,4 +1,4 @@
-//! Grants that come from the source and not from a director.
+//! Grants derived from the source rather than issued by a director.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::KnownOrder;
 use crate::source::OrderedRelease;
 
-/// What the record of an order that has come to its end allows, for good.
+/// The final grant of a release that has ended according to its record; `None` if it has not ended.
 pub fn final_grant(known: &KnownOrder) -> Option<Grant> {
     let (stage, share) = match known.recorded()? {
         Outcome::Running => return None,
@@ -17,12 +17,12 @@
     Some(recorded_grant(&known.release, stage, share))
 }
 
-/// An order of whose director nothing was heard yet allows nothing.
+/// The grant of an order for which no director has sent one yet; it allows no requests.
 pub fn initial_grant(release: &OrderedRelease) -> Grant {
     recorded_grant(release, Stage::Trial, 0.0)
 }
 
-/// The end of a release whose order is not in the source any more.
+/// The final grant of a release whose order is no longer in the source.
 pub fn withdrawn_grant(grant: &Grant) -> Grant {
     Grant {
         stage: Stage::Withdrawn,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Any grant of a director comes after it, as its numbers begin above zero.
+/// A grant with number zero. Each grant of a director supersedes it, as a director's numbers begin above zero.
 fn recorded_grant(release: &OrderedRelease, stage: Stage, share: f64) -> Grant {
     Grant {
         order: release.order.clone(),
--- a/crates/gateway/src/release/release_update.rs
+++ b/crates/gateway/src/release/release_update.rs
@@ -1,17 +1,17 @@
-//! News of a grant.
+//! Message that passes on a grant.
 
 use ryerouter_core::release::Grant;
 use serde::{Deserialize, Serialize};
 
-/// What the director of a release allows, as one node tells another.
+/// A grant of the director of a release, as one node sends it to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseUpdate {
-    /// What it allows.
+    /// The grant.
     #[serde(rename = "g")]
     pub grant: Grant,
-    /// How long before the message the director had allowed it, in milliseconds. The datagram itself may be
-    /// of any age, so a grant is believed for somewhat longer than it should be: well under a second, as
-    /// nodes pass newer ones on three times a second.
+    /// Age of the grant when the message was sent, in milliseconds. The time that the datagram takes is not known, so
+    /// a grant is considered valid for somewhat longer than it should be: by well under a second, as nodes pass
+    /// on newer grants three times a second.
     #[serde(rename = "a")]
     pub age_ms: u64,
 }
--- a/crates/gateway/src/release/stage_log.rs
+++ b/crates/gateway/src/release/stage_log.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of a release under direction.
+//! Log entries and metrics of a release that this node directs.
 
 use ryerouter_core::Timestamp;
 use ryerouter_core::release::{Counts, Fleet, Order, Progress, Stage};
@@ -6,7 +6,7 @@
 
 use crate::gateway::Gateway;
 
-/// A release has come to another stage.
+/// Logs and counts that a release has entered another stage.
 pub(super) fn log_stage(
     gateway: &Gateway,
     progress: &Progress,
@@ -36,7 +36,7 @@
     stages.with_label_values(&labels).inc();
 }
 
-/// The answers of both versions so far.
+/// Updates the metrics for the answers of both versions.
 pub(super) fn record_answers(gateway: &Gateway, order: &Order, counts: &Counts) {
     let answers = &gateway.metrics().release_answers;
     for (version, tally) in [("target", counts.target()), ("present", counts.present())] {
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -1,4 +1,4 @@
-//! The releases that a node knows.
+//! The releases known to a node.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,24 +10,24 @@
 
 use super::{AnswerTiming, KnownRelease, TypicalTimes};
 
-/// The releases that a node knows: the newest of each pool.
+/// The releases known to a node: the newest of each pool.
 #[derive(Debug, Default)]
 pub struct Table {
     releases: BTreeMap<PoolName, KnownRelease>,
-    /// Whether all orders are known, from the source or from a node that knew them: a pool without a
-    /// release then has no order.
+    /// Whether all orders are known, from the source or from a node that knew them. If so, a pool without a release
+    /// has no order.
     pub knows_orders: bool,
-    /// How long the present versions' answers take.
+    /// Typical durations of the present versions' answers.
     pub typical_times: TypicalTimes,
-    /// Pools whose stage every node is to be told of at once.
+    /// Pools whose stage is to be sent to every node at once.
     pub urgent: BTreeSet<PoolName>,
-    /// Versions that each pool's requests may go to without a grant, as of the last look.
+    /// Versions that each pool's requests may be sent to without a valid grant, as of the last check.
     pub in_use: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
 }
 
 impl Table {
-    /// Takes a grant that the director gave at `granted_at`, at the latest; `false` when a newer one of the
-    /// same pool is known.
+    /// Applies a grant that the director issued at `granted_at` at the latest; returns `false` if it does not supersede
+    /// the known grant of the pool.
     pub fn apply(&mut self, grant: Grant, granted_at: Timestamp, now: Timestamp) -> bool {
         let pool = grant.order.pool.clone();
         let Some(known) = self.releases.get_mut(&pool) else {
@@ -36,8 +36,8 @@
             return true;
         };
         if known.grant == grant {
-            // The same grant came by two ways. Time on the way is not counted, so the
-            // earlier of the two times is nearer to the truth.
+            // The same grant arrived by two paths. The time in transit is not included, so the earlier of the two
+            // times is more accurate.
             known.granted_at = known.granted_at.min(granted_at);
         }
         if !grant.supersedes(&known.grant) {
@@ -62,28 +62,28 @@
         self.releases.get(pool)
     }
 
-    /// The same, to change it.
+    /// The release of a pool, mutably.
     pub fn of_mut(&mut self, pool: &PoolName) -> Option<&mut KnownRelease> {
         self.releases.get_mut(pool)
     }
 
-    /// All releases, in order of their pools.
+    /// All releases, ordered by pool.
     pub fn iter(&self) -> impl Iterator<Item = &KnownRelease> {
         self.releases.values()
     }
 
-    /// The same, to change them.
+    /// All releases, mutably, ordered by pool.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut KnownRelease> {
         self.releases.values_mut()
     }
 
-    /// Forgets releases that came to their end and say nothing any more.
+    /// Removes releases that have ended and for which `is_over` returns `true`.
     pub fn forget(&mut self, is_over: impl Fn(&KnownRelease) -> bool) {
         self.releases
             .retain(|_, known| !known.is_final() || !is_over(known));
     }
 
-    /// Counts an answer in the release of its pool, unless that has come to its end.
+    /// Counts an answer in the release of its pool, unless that release has ended.
     pub fn note(&mut self, timing: &AnswerTiming, judgement: Judgement) {
         let known = self.releases.get_mut(&timing.pool);
         let Some(known) = known.filter(|known| !known.is_final()) else {
@@ -100,7 +100,7 @@
         known.evidence.note(cell, judgement);
     }
 
-    /// Whether answers of a version tell how long the present version takes.
+    /// Whether answers of a version count towards the typical times of the present version.
     pub fn is_present(&self, pool: &PoolName, software: &str) -> bool {
         self.releases.get(pool).is_none_or(|known| {
             let grant = &known.grant;
@@ -109,10 +109,10 @@
     }
 }
 
-/// What stays out of use when another order takes the place of one.
+/// The versions that stay rejected when an order for `target` replaces the `former` one.
 fn rejected_versions(former: &KnownRelease, target: &str) -> BTreeSet<SoftwareVersion> {
     let mut rejected = former.rejected.clone();
-    // A version that was still under trial is as unproven as one whose order was taken back.
+    // A version that was still under trial is not known to be good, like one whose order was withdrawn.
     let is_under_trial = matches!(former.grant.stage, Stage::Trial | Stage::Shifting);
     if former.is_rejected() || is_under_trial {
         rejected.insert(former.grant.order.target.clone());
--- a/crates/gateway/src/release/typical_times.rs
+++ b/crates/gateway/src/release/typical_times.rs
@@ -1,4 +1,4 @@
-//! How long the present versions' answers take.
+//! Typical durations of the present versions' answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,34 +7,34 @@
 
 use super::{AnswerTiming, LogMedian};
 
-/// An answer that takes so many times as long as is usual is slow. Bad versions take several times as
-/// long; of the present version's answers few do, and how many is known.
+/// An answer that takes more than this multiple of the typical time is slow. Bad versions take several times as
+/// long. Few answers of the present version do, and they are counted too.
 const SLOW_FACTOR: f64 = 2.5;
-/// Bounds of the classes by which answers are compared, in prompt tokens that the engine has to
-/// read. A version whose engines have empty caches reads more, which is not its fault.
+/// Upper bounds of the classes in which answers are compared, in prompt tokens that the engine has to process.
+/// Without classes, a version whose engines have empty caches and so process more tokens would seem slow.
 const UNREAD_CLASSES: [u32; 3] = [512, 2_048, 8_192];
-/// Most estimates that are kept: routes that were dropped leave theirs behind. Beyond it all are
-/// forgotten and learnt anew.
+/// Maximum number of medians. Those of removed routes are not deleted one by one; when the maximum is reached, all
+/// medians are discarded and measured anew.
 const MAX_MEDIANS: usize = 1_024;
 
-/// What part of an answer is timed.
+/// Part of an answer that is timed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TimedPart {
-    /// All of one that is not a stream, by the class of what the engine has to read.
+    /// A complete answer that is not a stream, by the class of the tokens to process.
     Whole(usize),
-    /// From sending the request to the first event, by the class of what the engine has to read.
+    /// From sending the request to the first event of a stream, by the class of the tokens to process.
     FirstEvent(usize),
-    /// From event to event.
+    /// From one event of a stream to the next.
     Event,
 }
 
 impl TimedPart {
-    /// All of an answer, after reading so many tokens.
+    /// A complete answer for which the engine has to process `unread_tokens`.
     pub fn whole(unread_tokens: u32) -> Self {
         Self::Whole(class_of(unread_tokens))
     }
 
-    /// The first event after reading so many tokens.
+    /// The first event of a stream for which the engine has to process `unread_tokens`.
     pub fn first_event(unread_tokens: u32) -> Self {
         Self::FirstEvent(class_of(unread_tokens))
     }
@@ -62,21 +62,21 @@
     }
 }
 
-/// How long parts of the present versions' answers take on each route, lately.
+/// Running medians of the durations of the present versions' answers, for each pool, route and timed part.
 #[derive(Debug, Default)]
 pub struct TypicalTimes {
     medians: HashMap<TimeKey, LogMedian>,
 }
 
 impl TypicalTimes {
-    /// Whether a part of an answer took several times as long as it usually does.
+    /// Whether a part of an answer took more than `SLOW_FACTOR` times its typical time.
     pub fn is_slow(&self, timing: &AnswerTiming, part: TimedPart, took: Duration) -> bool {
         let median = self.medians.get(&TimeKey::new(timing, part));
         let usual = median.and_then(LogMedian::get);
         usual.is_some_and(|usual| took > usual.mul_f64(SLOW_FACTOR))
     }
 
-    /// A part of an answer of the present version took so long.
+    /// Records the duration of a part of an answer of the present version.
     pub fn note(&mut self, timing: &AnswerTiming, part: TimedPart, took: Duration) {
         let key = TimeKey::new(timing, part);
         if self.medians.len() >= MAX_MEDIANS && !self.medians.contains_key(&key) {
