--- a/crates/gateway/src/release/director.rs
+++ b/crates/gateway/src/release/director.rs
@@ -53,7 +53,7 @@
     let reader = RecordReader {
         gateway: Rc::clone(&gateway),
         store: Rc::clone(&store),
-        answer: settings.answer,
+        answer_timeout: settings.answer,
         orders: Rc::clone(&orders),
         next_reads: BTreeMap::new(),
         next_list: None,
@@ -63,7 +63,7 @@
         gateway,
         store,
         release_settings,
-        answer: settings.answer,
+        answer_timeout: settings.answer,
         orders,
         directed: BTreeMap::new(),
         grants: 0,
@@ -76,9 +76,10 @@
     gateway: Rc<Gateway>,
     store: Rc<dyn ReleaseStore>,
     release_settings: release::Settings,
-    /// Timeout for an answer of the source.
-    answer: Duration,
+    /// Timeout for an answer of the source, before consecutive failures lengthen it.
+    answer_timeout: Duration,
     orders: Rc<RefCell<Orders>>,
+    /// Releases that this node directs.
     directed: BTreeMap<PoolName, DirectedRelease>,
     /// Number of grants sent so far.
     grants: u64,
@@ -210,7 +211,7 @@
         let Some(directed) = self.directed.get_mut(&order.pool) else {
             return;
         };
-        let limit = self.answer * (directed.failures + 1).min(MAX_TIMEOUT_FACTOR);
+        let limit = self.answer_timeout * (directed.failures + 1).min(MAX_TIMEOUT_FACTOR);
         match directed.record {
             RecordState::Known => {
                 let Some(outcome) = directed.next_record(known.recorded()) else {
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -11,8 +11,8 @@
 
 use super::Origin;
 
-/// If the director still sends grants this long after this node has stopped, it has seen the same answers without
-/// deciding against the version: reports of answers reach it in less than a second.
+/// Time after a stop from which a new grant shows that the director has seen the same answers and has not decided
+/// against the target version: reports of answers reach it in less than a second.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A release as one node knows it.
--- a/crates/gateway/src/release/listed_versions.rs
+++ b/crates/gateway/src/release/listed_versions.rs
@@ -35,8 +35,8 @@
     fn add(&mut self, engine: &Engine) {
         self.engines += 1;
         self.first_at = self.first_at.min(engine.listed_at);
-        let begun = [self.oldest, engine.entry.incarnation];
-        self.oldest = begun.into_iter().flatten().min();
+        let incarnations = [self.oldest, engine.entry.incarnation];
+        self.oldest = incarnations.into_iter().flatten().min();
     }
 }
 
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -38,7 +38,7 @@
 pub(super) struct RecordReader {
     pub(super) gateway: Rc<Gateway>,
     pub(super) store: Rc<dyn ReleaseStore>,
-    pub(super) answer: Duration,
+    pub(super) answer_timeout: Duration,
     pub(super) orders: Rc<RefCell<Orders>>,
     pub(super) next_reads: BTreeMap<PoolName, Timestamp>,
     /// When all orders are to be read next; `None` while they are not lacking.
@@ -76,7 +76,7 @@
     }
 
     async fn read_all(&self) {
-        let listed = timeout(self.answer, self.store.list()).await;
+        let listed = timeout(self.answer_timeout, self.store.list()).await;
         let log = self.gateway.log();
         match listed.unwrap_or(Err(SourceError::NoAnswer)) {
             Ok(list) => {
@@ -115,7 +115,7 @@
     }
 
     async fn read(&self, grant: &Grant) {
-        let read = timeout(self.answer, self.store.read(&grant.order.pool)).await;
+        let read = timeout(self.answer_timeout, self.store.read(&grant.order.pool)).await;
         let log = self.gateway.log();
         let pool = &grant.order.pool;
         match read.unwrap_or(Err(SourceError::NoAnswer)) {
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -36,8 +36,8 @@
             return true;
         };
         if known.grant == grant {
-            // The same grant arrived by two paths. The time in transit is not included, so the earlier of the two
-            // times is more accurate.
+            // The same grant arrived by two paths. The recorded ages do not include the time in transit,
+            // so the earlier of the two times is more accurate.
             known.granted_at = known.granted_at.min(granted_at);
         }
         if !grant.supersedes(&known.grant) {
