--- a/crates/gateway/src/gateway/release_orders.rs
+++ b/crates/gateway/src/gateway/release_orders.rs
@@ -62,7 +62,8 @@
         let now = self.clock().now();
         let state = self.state();
         let releases = state.releases.iter();
-        let expired = releases.filter(|known| !known.is_granted(settings.grant_lifetime(), now));
+        let expired =
+            releases.filter(|known| !known.is_grant_valid(settings.grant_lifetime(), now));
         expired.map(|known| known.grant.clone()).collect()
     }
 
--- a/crates/gateway/src/release/known_order.rs
+++ b/crates/gateway/src/release/known_order.rs
@@ -7,51 +7,52 @@
 /// An order as the director knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownOrder {
-    /// The order and its record, as the source last told.
+    /// The order and its record, as last received from the source.
     pub release: OrderedRelease,
-    /// Whether the record is that of an order before, as this node saw the order change and the record stay.
-    is_record_older: bool,
+    /// Whether the record belongs to an earlier order: this node saw the order change and the record stay the same.
+    is_record_stale: bool,
 }
 
 impl KnownOrder {
-    /// An order that is seen for the first time: a record of its target version is taken for its own.
+    /// An order that is seen for the first time. A record of the same target version is assumed to belong to it.
     pub fn new(release: OrderedRelease) -> Self {
         Self {
             release,
-            is_record_older: false,
+            is_record_stale: false,
         }
     }
 
-    /// What is recorded of this order.
+    /// The outcome recorded for this order.
     pub fn recorded(&self) -> Option<Outcome> {
         let record = self.release.record.as_ref()?;
-        let is_own = record.target == self.release.order.target && !self.is_record_older;
+        let is_own = record.target == self.release.order.target && !self.is_record_stale;
         is_own.then_some(record.outcome)
     }
 
-    /// Whether the order has not come to its end.
+    /// Whether the release has not ended.
     pub fn is_open(&self) -> bool {
         let recorded = self.recorded();
         recorded.is_none_or(|outcome| outcome == Outcome::Running)
     }
 
-    /// Takes what the source told later; what it told earlier is passed over.
-    pub fn take(&mut self, release: OrderedRelease) {
+    /// Applies a version of the order received from the source, unless it is older than the known one.
+    pub fn apply(&mut self, release: OrderedRelease) {
         if release.revision < self.release.revision {
             return;
         }
         let is_record_same = release.record == self.release.record;
         let is_order_same = release.order == self.release.order;
-        self.is_record_older = is_record_same && (self.is_record_older || !is_order_same);
+        self.is_record_stale = is_record_same && (self.is_record_stale || !is_order_same);
         self.release = release;
     }
 
-    /// Takes the order as it stood when something was recorded of it.
-    pub fn take_recorded(&mut self, release: OrderedRelease) {
+    /// Applies the version of the order that resulted from recording its outcome, unless it is older than the known
+    /// one.
+    pub fn apply_recorded(&mut self, release: OrderedRelease) {
         if release.revision < self.release.revision {
             return;
         }
         self.release = release;
-        self.is_record_older = false;
+        self.is_record_stale = false;
     }
 }
