--- a/crates/gateway/src/gateway/release_traffic.rs
+++ b/crates/gateway/src/gateway/release_traffic.rs
@@ -279,7 +279,7 @@
     }
     let versions = ListedVersions::of(engines, &grant.order.pool);
     let of_pool = engines.of_pool(&grant.order.pool);
-    let ready = of_pool.filter(|engine| engine.is_staying());
+    let ready = of_pool.filter(|engine| engine.is_in_service());
     let target = &grant.order.target;
     let replaced = ready.map(|engine| &engine.entry.software);
     let replaced = replaced.filter(|version| *version != target);
--- a/crates/gateway/src/release/admission_policy.rs
+++ b/crates/gateway/src/release/admission_policy.rs
@@ -139,7 +139,7 @@
         engines.sort_unstable_by_key(|engine| engine.name_hash);
         let positions = engines.into_iter().enumerate();
         let granted = positions
-            .filter(|(position, _)| window.is_none_or(|window| window.holds(*position, count)));
+            .filter(|(position, _)| window.is_none_or(|window| window.contains(*position, count)));
         let names = granted.map(|(_, engine)| engine.entry.name.clone());
         EngineFilter::Only(names.collect())
     }
--- a/crates/gateway/src/release/answer_timing.rs
+++ b/crates/gateway/src/release/answer_timing.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// The answer was received completely.
-    Complete {
+    Whole {
         /// Whether the request succeeded. Only then does the time count as typical: an engine rejects an invalid
         /// request sooner than it answers a valid one.
         is_success: bool,
@@ -23,7 +23,7 @@
     /// The engine reported an error of its own, the answer broke off, or it was malformed.
     Failed,
     /// The answer was not awaited to its end: the caller disconnected, or a timeout expired.
-    Abandoned,
+    Left,
     /// The engine did not run the request.
     NotRun,
 }
@@ -88,19 +88,19 @@
         match end {
             AnswerEnd::NotRun => None,
             AnswerEnd::Failed => Some(Judgement::Failed),
-            AnswerEnd::Complete { .. } if is_slow() => Some(Judgement::Slow),
-            AnswerEnd::Complete { .. } => Some(Judgement::Good),
+            AnswerEnd::Whole { .. } if is_slow() => Some(Judgement::Slow),
+            AnswerEnd::Whole { .. } => Some(Judgement::Good),
             // The caller of an engine that hangs disconnects eventually, so a slow abandoned answer counts.
-            AnswerEnd::Abandoned => is_slow().then_some(Judgement::Slow),
+            AnswerEnd::Left => is_slow().then_some(Judgement::Slow),
         }
     }
 
     /// Updates the typical times with the times of this answer, which must be one of the present version.
     pub fn update_typical_times(&self, end: AnswerEnd, times: &mut TypicalTimes, now: Timestamp) {
         let is_usable = match end {
-            AnswerEnd::Complete { is_success } => is_success,
+            AnswerEnd::Whole { is_success } => is_success,
             // Slow abandoned answers count, so that the typical time rises when all answers become slow.
-            AnswerEnd::Abandoned => self.is_slow(times, now),
+            AnswerEnd::Left => self.is_slow(times, now),
             AnswerEnd::Failed | AnswerEnd::NotRun => false,
         };
         if !is_usable || self.is_cold {
--- a/crates/gateway/src/serve/answer_reporter.rs
+++ b/crates/gateway/src/serve/answer_reporter.rs
@@ -64,7 +64,7 @@
 
 impl Drop for AnswerReporter {
     fn drop(&mut self) {
-        self.end(AnswerEnd::Abandoned);
+        self.end(AnswerEnd::Left);
     }
 }
 
--- a/crates/gateway/src/serve/attempt_error.rs
+++ b/crates/gateway/src/serve/attempt_error.rs
@@ -50,7 +50,7 @@
     pub(super) fn answer_end(&self) -> AnswerEnd {
         match self {
             Self::NotConnected(_) | Self::NoRoom(_) | Self::Misdirected(_) => AnswerEnd::NotRun,
-            Self::Silent(_) => AnswerEnd::Abandoned,
+            Self::Silent(_) => AnswerEnd::Left,
             Self::EngineError(_) | Self::Broken(_) | Self::MayHaveRun(_) => AnswerEnd::Failed,
         }
     }
--- a/crates/gateway/src/serve/live_answer.rs
+++ b/crates/gateway/src/serve/live_answer.rs
@@ -68,7 +68,7 @@
         let body = Limited::new(&mut self.body, MAX_WHOLE_BYTES);
         let collected = body.collect().await;
         self.reporter.end(match &collected {
-            Ok(_) if !self.status.is_server_error() => AnswerEnd::Complete {
+            Ok(_) if !self.status.is_server_error() => AnswerEnd::Whole {
                 is_success: self.status.is_success(),
             },
             _ => AnswerEnd::Failed,
--- a/crates/gateway/src/serve/stream_relay.rs
+++ b/crates/gateway/src/serve/stream_relay.rs
@@ -267,7 +267,7 @@
             Ok(mut live) => {
                 live.reporter.end(match live.status.is_server_error() {
                     true => AnswerEnd::Failed,
-                    false => AnswerEnd::Complete { is_success: false },
+                    false => AnswerEnd::Whole { is_success: false },
                 });
                 Err(RelayFault {
                     detail: format!("{}; then status {}", fault.detail, live.status.as_u16()),
@@ -330,7 +330,7 @@
     }
 
     fn complete(&mut self) {
-        let whole = AnswerEnd::Complete { is_success: true };
+        let whole = AnswerEnd::Whole { is_success: true };
         self.report(|reporter| reporter.end(whole));
         let Some(live) = self.live.take() else {
             return;
--- a/crates/gateway/tests/releases_evidence.rs
+++ b/crates/gateway/tests/releases_evidence.rs
@@ -21,7 +21,7 @@
 use tokio::time::advance;
 use yare::parameterized;
 
-const GOOD: AnswerEnd = AnswerEnd::Complete { is_success: true };
+const GOOD: AnswerEnd = AnswerEnd::Whole { is_success: true };
 /// Answers after which it is known how long they take.
 const ENOUGH: usize = 8;
 /// Answers after which it is known how long an engine may be silent.
@@ -232,8 +232,8 @@
 #[parameterized(
     whole_in_time = { GOOD, A_LITTLE_LATE, ONE_GOOD },
     whole_and_late = { GOOD, SLOW, ONE_SLOW },
-    left_soon = { AnswerEnd::Abandoned, A_LITTLE_LATE, NOT_COUNTED },
-    left_late = { AnswerEnd::Abandoned, SLOW, ONE_SLOW },
+    left_soon = { AnswerEnd::Left, A_LITTLE_LATE, NOT_COUNTED },
+    left_late = { AnswerEnd::Left, SLOW, ONE_SLOW },
     failed_soon = { AnswerEnd::Failed, A_LITTLE_LATE, ONE_FAILED },
     failed_late = { AnswerEnd::Failed, SLOW, ONE_FAILED },
     not_run = { AnswerEnd::NotRun, SLOW, NOT_COUNTED },
--- a/crates/gateway/tests/releases_news.rs
+++ b/crates/gateway/tests/releases_news.rs
@@ -183,7 +183,7 @@
                 node,
                 "old-1",
                 PRESENT,
-                AnswerEnd::Complete { is_success: true },
+                AnswerEnd::Whole { is_success: true },
                 ANSWERS,
             );
             see_answers(node, "new-1", TARGET, AnswerEnd::Failed, ANSWERS);
@@ -351,7 +351,7 @@
 fn node_that_sees_a_version_fail_stops_sending_to_it_before_the_verdict() {
     run_paused(async {
         let node = lone_node().await;
-        let good = AnswerEnd::Complete { is_success: true };
+        let good = AnswerEnd::Whole { is_success: true };
         node.publish_grant(grant(Stage::Shifting, 0.6, 1));
         for round in 0..30 {
             see_answers(&node, "old-1", PRESENT, good, 20);
@@ -374,7 +374,7 @@
 fn node_that_stopped_without_cause_follows_when_the_last_requests_move() {
     run_paused(async {
         let node = lone_node().await;
-        let good = AnswerEnd::Complete { is_success: true };
+        let good = AnswerEnd::Whole { is_success: true };
         let targets = ["new-1", "new-2", "new-3"];
         node.publish_grant(grant(Stage::Trial, 0.08, 1));
         for _ in 0..10 {
@@ -403,7 +403,7 @@
 fn node_that_stopped_goes_on_when_the_director_has_seen_the_answers_and_goes_on() {
     run_paused(async {
         let node = lone_node().await;
-        let good = AnswerEnd::Complete { is_success: true };
+        let good = AnswerEnd::Whole { is_success: true };
         node.publish_grant(grant(Stage::Trial, 0.5, 1));
         for _ in 0..5 {
             see_answers(&node, "old-1", PRESENT, good, 20);
@@ -430,7 +430,7 @@
 fn node_that_sees_a_version_do_well_goes_on_sending_to_it() {
     run_paused(async {
         let node = lone_node().await;
-        let good = AnswerEnd::Complete { is_success: true };
+        let good = AnswerEnd::Whole { is_success: true };
         for round in 0..30 {
             see_answers(&node, "old-1", PRESENT, good, 20);
             see_answers(&node, "new-1", TARGET, good, 3);
--- a/crates/gateway/tests/releases_play.rs
+++ b/crates/gateway/tests/releases_play.rs
@@ -111,7 +111,7 @@
         };
         let end = match self.random.random_bool(failures) {
             true => AnswerEnd::Failed,
-            false => AnswerEnd::Complete { is_success: true },
+            false => AnswerEnd::Whole { is_success: true },
         };
         node.note_release_answer(&watch, end);
         is_target
