--- a/crates/gateway/src/gateway/release_intake.rs
+++ b/crates/gateway/src/gateway/release_intake.rs
@@ -138,7 +138,7 @@
         let Some(judgement) = judgement else {
             return;
         };
-        releases.note(timing, judgement);
+        releases.record_answer(timing, judgement);
         let known = releases.of(&timing.pool);
         let is_bad = judgement != ryerouter_core::release::Judgement::Good;
         if !is_bad || known.is_none_or(KnownRelease::is_final) {
@@ -168,7 +168,7 @@
         }
         let table = state.table.clone();
         let engines = &state.engines;
-        state.releases.forget(|known| {
+        state.releases.remove_ended(|known| {
             let pool = &known.grant.order.pool;
             let has_pool = table
                 .as_ref()
@@ -176,8 +176,8 @@
             let is_old = now.since(known.stage_since) >= FINISHED_RELEASE_RETENTION;
             is_old && (!has_pool || is_obsolete(known, engines))
         });
-        let in_use = self.versions_in_use(state, settings, now);
-        self.log_new_versions(state, in_use);
+        let open_versions = self.open_versions(state, settings, now);
+        self.log_new_versions(state, open_versions);
     }
 
     fn judge(
@@ -208,30 +208,30 @@
     }
 
     /// Versions that requests of each pool may go to.
-    fn versions_in_use(
+    fn open_versions(
         &self,
         state: &GatewayState,
         settings: &Settings,
         now: Timestamp,
     ) -> BTreeMap<PoolName, BTreeSet<SoftwareVersion>> {
         let policy = self.policy(state, settings, now);
-        let mut in_use: BTreeMap<PoolName, BTreeSet<SoftwareVersion>> = BTreeMap::new();
+        let mut open_versions: BTreeMap<PoolName, BTreeSet<SoftwareVersion>> = BTreeMap::new();
         let pools: BTreeSet<&PoolName> = state.engines.iter().map(|e| &e.entry.pool).collect();
         for pool in pools {
             let open = policy.open_versions(pool);
-            in_use.insert(pool.clone(), open);
+            open_versions.insert(pool.clone(), open);
         }
-        in_use
+        open_versions
     }
 
     /// Logs versions that were not ordered and that take requests from now on.
     fn log_new_versions(
         &self,
         state: &mut GatewayState,
-        in_use: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
+        open_versions: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
     ) {
-        for (pool, versions) in &in_use {
-            let Some(before) = state.releases.in_use.get(pool) else {
+        for (pool, versions) in &open_versions {
+            let Some(before) = state.releases.open_versions.get(pool) else {
                 continue;
             };
             let known = state.releases.of(pool);
@@ -242,10 +242,10 @@
                     "in_use_before" => ?before, "knows_orders" => state.releases.knows_orders);
             }
         }
-        if state.releases.in_use != in_use {
-            debug!(self.log(), "software_in_use"; "versions" => ?in_use);
+        if state.releases.open_versions != open_versions {
+            debug!(self.log(), "software_in_use"; "versions" => ?open_versions);
         }
-        state.releases.in_use = in_use;
+        state.releases.open_versions = open_versions;
     }
 }
 
--- a/crates/gateway/src/release/admission_policy.rs
+++ b/crates/gateway/src/release/admission_policy.rs
@@ -205,9 +205,11 @@
             return Admission::to(EngineFilter::Any);
         }
         let on_hold = versions.on_hold(self.now);
-        let is_uninformed = !self.table.knows_orders && self.uptime < ORDERS_TIMEOUT;
+        let may_lack_orders = !self.table.knows_orders && self.uptime < ORDERS_TIMEOUT;
         let closed = match versions.oldest() {
-            Some(oldest) if is_uninformed || versions.iter().all(|each| on_hold.contains(each)) => {
+            Some(oldest)
+                if may_lack_orders || versions.iter().all(|each| on_hold.contains(each)) =>
+            {
                 versions.all_except(oldest).cloned().collect()
             }
             _ => on_hold,
--- a/crates/gateway/src/release/answer_timing.rs
+++ b/crates/gateway/src/release/answer_timing.rs
@@ -107,9 +107,9 @@
             return;
         }
         let (part, took) = self.first_part(now);
-        times.note(self, part, took);
+        times.record(self, part, took);
         if self.events >= MIN_EVENTS {
-            times.note(self, TimedPart::Event, self.time_between_events());
+            times.record(self, TimedPart::Event, self.time_between_events());
         }
     }
 
@@ -127,7 +127,7 @@
         let until = self.first_event_at.unwrap_or(now);
         let part = match self.is_stream {
             true => TimedPart::first_event(self.unread_tokens),
-            false => TimedPart::whole(self.unread_tokens),
+            false => TimedPart::complete_answer(self.unread_tokens),
         };
         (part, until.since(self.sent_at))
     }
--- a/crates/gateway/src/release/directed_release.rs
+++ b/crates/gateway/src/release/directed_release.rs
@@ -92,7 +92,7 @@
         let is_same = before.stage == grant.stage
             && before.share.total_cmp(&grant.share).is_eq()
             && before.window == grant.window;
-        let is_kept = before.stage.is_final() || now.since(last_sent.at) < GRANT_INTERVAL;
-        !(is_same && is_kept)
+        let skips_repeat = before.stage.is_final() || now.since(last_sent.at) < GRANT_INTERVAL;
+        !(is_same && skips_repeat)
     }
 }
--- a/crates/gateway/src/release/director.rs
+++ b/crates/gateway/src/release/director.rs
@@ -211,27 +211,27 @@
         let Some(directed) = self.directed.get_mut(&order.pool) else {
             return;
         };
-        let limit = self.answer_timeout * (directed.failures + 1).min(MAX_TIMEOUT_FACTOR);
+        let call_timeout = self.answer_timeout * (directed.failures + 1).min(MAX_TIMEOUT_FACTOR);
         match directed.record {
             RecordState::Known => {
                 let Some(outcome) = directed.next_record(known.recorded()) else {
                     return;
                 };
                 directed.record = RecordState::Pending;
-                self.call_record(known.release.clone(), outcome, limit);
+                self.call_record(known.release.clone(), outcome, call_timeout);
             }
             RecordState::Uncertain(read_at) if read_at <= now => {
                 directed.record = RecordState::Pending;
-                self.call_read(&known.release, limit);
+                self.call_read(&known.release, call_timeout);
             }
             RecordState::Pending | RecordState::Uncertain(_) => {}
         }
     }
 
-    fn call_record(&self, release: OrderedRelease, outcome: Outcome, limit: Duration) {
+    fn call_record(&self, release: OrderedRelease, outcome: Outcome, call_timeout: Duration) {
         let (store, sender) = (Rc::clone(&self.store), self.sender.clone());
         spawn_local(async move {
-            let recorded = timeout(limit, store.record(&release, outcome)).await;
+            let recorded = timeout(call_timeout, store.record(&release, outcome)).await;
             // Without a receiver this node has stopped directing.
             let _ = sender.send(DirectorEvent::Recorded {
                 order: release.order.clone(),
@@ -241,11 +241,11 @@
         });
     }
 
-    fn call_read(&self, release: &OrderedRelease, limit: Duration) {
+    fn call_read(&self, release: &OrderedRelease, call_timeout: Duration) {
         let (store, sender) = (Rc::clone(&self.store), self.sender.clone());
         let (pool, revision) = (release.order.pool.clone(), release.revision);
         spawn_local(async move {
-            let read = timeout(limit, store.read(&pool)).await;
+            let read = timeout(call_timeout, store.read(&pool)).await;
             let result = read.unwrap_or(Err(SourceError::NoAnswer));
             // Without a receiver this node has stopped directing.
             let _ = sender.send(DirectorEvent::Read {
--- a/crates/gateway/src/release/end_announcement.rs
+++ b/crates/gateway/src/release/end_announcement.rs
@@ -37,7 +37,7 @@
 fn is_known_end(gateway: &Gateway, grant: &Grant) -> bool {
     let known = gateway.known_grant(&grant.order.pool);
     known.is_some_and(|(known, _)| {
-        let has_same_stage = known.order == grant.order && known.stage == grant.stage;
-        has_same_stage || !grant.supersedes(&known)
+        let is_same_end = known.order == grant.order && known.stage == grant.stage;
+        is_same_end || !grant.supersedes(&known)
     })
 }
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -13,7 +13,7 @@
 
 /// Time after a stop from which a new grant shows that the director has seen the same answers and has not decided
 /// against the target version: reports of answers reach it in less than a second.
-const STOP_TIMEOUT: Duration = Duration::from_secs(2);
+const RESUME_DELAY: Duration = Duration::from_secs(2);
 
 /// A release as one node knows it.
 #[derive(Debug, Clone)]
@@ -123,8 +123,8 @@
     pub fn observe(&mut self, total: &Counts, engines: usize, now: Timestamp) -> Option<&Rollback> {
         self.comparison.observe(total, self.grant.stage, now);
         if self.stopped.is_some() {
-            let is_moving = self.grant.stage == Stage::Settling;
-            if is_moving && self.comparison.allows_shift(engines) {
+            let is_settling = self.grant.stage == Stage::Settling;
+            if is_settling && self.comparison.allows_shift(engines) {
                 self.stopped = None;
             }
             return None;
@@ -140,7 +140,7 @@
     /// (24.0 s with a ramp of 8 s, measured in a soak test of four nodes).
     pub fn resume_trial(&mut self) -> bool {
         let grant_delay = self.granted_at.since(self.stopped_at);
-        let is_due = self.grant.stage == Stage::Trial && grant_delay >= STOP_TIMEOUT;
+        let is_due = self.grant.stage == Stage::Trial && grant_delay >= RESUME_DELAY;
         if self.stopped.is_none() || !is_due {
             return false;
         }
--- a/crates/gateway/src/release/log_median.rs
+++ b/crates/gateway/src/release/log_median.rs
@@ -28,7 +28,7 @@
     }
 
     /// Updates the median with another value.
-    pub fn note(&mut self, value: Duration) {
+    pub fn record(&mut self, value: Duration) {
         self.values = self.values.saturating_add(1);
         let difference = log_of(value) - self.log;
         let step = (1.0 / f64::from(self.values)).max(MIN_STEP);
--- a/crates/gateway/src/release/order_follower.rs
+++ b/crates/gateway/src/release/order_follower.rs
@@ -96,7 +96,7 @@
         self.versions = self.listed_versions();
         loop {
             let store = Rc::clone(&self.store);
-            let listed = timeout(self.answer_limit(), store.list()).await;
+            let listed = timeout(self.answer_timeout(), store.list()).await;
             match listed.unwrap_or(Err(SourceError::NoAnswer)) {
                 Ok(list) => {
                     self.note_answer();
@@ -121,10 +121,10 @@
             is_immediate = false;
             let revision = self.orders.borrow().revision().unwrap_or_default();
             let started_at = self.gateway.clock().now();
-            let limit = wait + self.answer_limit();
+            let call_timeout = wait + self.answer_timeout();
             let store = Rc::clone(&self.store);
             let answer = tokio::select! {
-                answer = timeout(limit, store.watch(revision, wait)) => answer,
+                answer = timeout(call_timeout, store.watch(revision, wait)) => answer,
                 // An operator orders a version before its engines start, so a watch that has not reported the
                 // order may have lost its connection. The next watch asks for an immediate answer.
                 () = self.until_new_version(), if !wait.is_zero() => {
@@ -187,7 +187,7 @@
         sleep(MIN_WATCH_INTERVAL.saturating_sub(taken)).await;
     }
 
-    fn answer_limit(&self) -> Duration {
+    fn answer_timeout(&self) -> Duration {
         self.settings.answer * (self.failures + 1).min(MAX_TIMEOUT_FACTOR)
     }
 
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -22,7 +22,7 @@
     /// Pools whose stage is to be sent to every node at once.
     pub urgent: BTreeSet<PoolName>,
     /// Versions that each pool's requests may be sent to without a valid grant, as of the last check.
-    pub in_use: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
+    pub open_versions: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
 }
 
 impl Table {
@@ -78,13 +78,13 @@
     }
 
     /// Removes releases that have ended and for which `is_over` returns `true`.
-    pub fn forget(&mut self, is_over: impl Fn(&KnownRelease) -> bool) {
+    pub fn remove_ended(&mut self, is_over: impl Fn(&KnownRelease) -> bool) {
         self.releases
             .retain(|_, known| !known.is_final() || !is_over(known));
     }
 
     /// Counts an answer in the release of its pool, unless that release has ended.
-    pub fn note(&mut self, timing: &AnswerTiming, judgement: Judgement) {
+    pub fn record_answer(&mut self, timing: &AnswerTiming, judgement: Judgement) {
         let known = self.releases.get_mut(&timing.pool);
         let Some(known) = known.filter(|known| !known.is_final()) else {
             return;
--- a/crates/gateway/src/release/typical_times.rs
+++ b/crates/gateway/src/release/typical_times.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TimedPart {
     /// A complete answer that is not a stream, by the class of the tokens to process.
-    Whole(usize),
+    CompleteAnswer(usize),
     /// From sending the request to the first event of a stream, by the class of the tokens to process.
     FirstEvent(usize),
     /// From one event of a stream to the next.
@@ -30,8 +30,8 @@
 
 impl TimedPart {
     /// A complete answer for which the engine has to process `unread_tokens`.
-    pub fn whole(unread_tokens: u32) -> Self {
-        Self::Whole(class_of(unread_tokens))
+    pub fn complete_answer(unread_tokens: u32) -> Self {
+        Self::CompleteAnswer(class_of(unread_tokens))
     }
 
     /// The first event of a stream for which the engine has to process `unread_tokens`.
@@ -41,7 +41,9 @@
 }
 
 fn class_of(unread_tokens: u32) -> usize {
-    let smaller = UNREAD_CLASSES.iter().filter(|most| unread_tokens > **most);
+    let smaller = UNREAD_CLASSES
+        .iter()
+        .filter(|bound| unread_tokens > **bound);
     smaller.count()
 }
 
@@ -72,19 +74,19 @@
     /// Whether a part of an answer took more than `SLOW_FACTOR` times its typical time.
     pub fn is_slow(&self, timing: &AnswerTiming, part: TimedPart, took: Duration) -> bool {
         let median = self.medians.get(&TimeKey::new(timing, part));
-        let usual = median.and_then(LogMedian::get);
-        usual.is_some_and(|usual| took > usual.mul_f64(SLOW_FACTOR))
+        let typical = median.and_then(LogMedian::get);
+        typical.is_some_and(|typical| took > typical.mul_f64(SLOW_FACTOR))
     }
 
     /// Records the duration of a part of an answer of the present version.
-    pub fn note(&mut self, timing: &AnswerTiming, part: TimedPart, took: Duration) {
+    pub fn record(&mut self, timing: &AnswerTiming, part: TimedPart, took: Duration) {
         let key = TimeKey::new(timing, part);
         if self.medians.len() >= MAX_MEDIANS && !self.medians.contains_key(&key) {
             self.medians.clear();
         }
         let known = self.medians.entry(key);
         known
-            .and_modify(|median| median.note(took))
+            .and_modify(|median| median.record(took))
             .or_insert_with(|| LogMedian::first(took));
     }
 }
