--- a/crates/gateway/src/release/admission.rs
+++ b/crates/gateway/src/release/admission.rs
@@ -1,4 +1,4 @@
-//! The engines that a request may be sent to.
+//! The engines that a request may be sent to, first and as a fallback.
 
 use super::EngineFilter;
 use crate::engines::EngineEntry;
@@ -7,17 +7,17 @@
 /// The engines that a request may be sent to, and the engines to use if none of those is available.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admission {
-    /// The preferred engines.
+    /// The engines to use first.
     pub first: EngineFilter,
-    /// The engines to use if none of the preferred ones is available; if `None`, the request gets no engine.
+    /// The engines to use if none of the first ones is available; if `None`, the request then gets no engine.
     pub fallback: Option<EngineFilter>,
-    /// Whether the request may be sent to engines that fail requests. They are excluded for a version under
-    /// trial, which is not known to be good.
+    /// Whether the request may be sent to engines that fail requests. Such engines are excluded while a version is
+    /// under trial, because the version is not known to be good.
     pub unhealthy: UnhealthyEngines,
 }
 
 impl Admission {
-    /// Whether an engine may get the request, as a preferred or a fallback engine.
+    /// Whether an engine may get the request, at first or as a fallback.
     pub fn admits(&self, entry: &EngineEntry) -> bool {
         let fallback = self.fallback.as_ref();
         self.first.admits(entry) || fallback.is_some_and(|fallback| fallback.admits(entry))
--- a/crates/gateway/src/release/admission_policy.rs
+++ b/crates/gateway/src/release/admission_policy.rs
@@ -11,12 +11,13 @@
 use super::{Admission, EngineFilter, KnownRelease, ListedVersions, Table};
 use crate::engines::{Engine, EngineTable};
 
-/// Maximum time after its start for which a node that does not know the orders takes the version of the oldest
-/// engines for the present one. Within this time a director is normally found and has read the orders. If the
-/// source does not answer for longer, engines that replace others without an order must not stay idle.
+/// A node that does not know the orders assumes for this long after its start that the oldest engines run the present
+/// version, and sends requests to other versions only as a fallback. Within this time a director is normally
+/// found and has read the orders. If the source does not answer for longer, engines that replace others without
+/// an order must not stay idle.
 const ORDERS_TIMEOUT: Duration = Duration::from_secs(10);
-/// Seed of the hash that decides the version of a request, so that it is independent of other decisions made by
-/// a hash of the request.
+/// Seed of the hash of a request ID that decides which version the request goes to. With a seed of its own, this
+/// decision is independent of others that are made by a hash of the request ID.
 const DRAW_SEED: u64 = 0x7265_6c65_6173_6573;
 
 /// Decides which engines of a pool may take a request, according to the newest grant.
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Versions that get few or none of a pool's requests. Only the engines of the other versions count towards the
-    /// capacity of the pool.
+    /// Versions that get few or none of a pool's requests. Their engines do not count towards the capacity of the
+    /// pool.
     pub fn idle_versions(&self, pool: &PoolName) -> BTreeSet<SoftwareVersion> {
         let versions = ListedVersions::of(self.engines, pool);
         let Some(known) = self.table.of(pool) else {
@@ -144,8 +145,8 @@
         EngineFilter::Only(names.collect())
     }
 
-    /// The engines to use if no engine of the target version is available: those of the present version before the
-    /// stage `Settling`, and all that are not rejected in it.
+    /// The engines to use if no engine of the target version is available: in the stage `Settling` those of all
+    /// versions that are not rejected, in earlier stages those of the present versions.
     fn fallback(&self, known: &KnownRelease, versions: &ListedVersions) -> EngineFilter {
         match known.grant.stage {
             Stage::Settling => EngineFilter::except(known.rejected.clone()),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The engines of the present versions, without versions on hold unless no other version is left.
+    /// The engines of the present versions. Versions on hold are left out, unless there are no others.
     fn present_engines(&self, known: &KnownRelease, versions: &ListedVersions) -> EngineFilter {
         let closed = self.closed_versions(known);
         let is_any_open = |closed: &BTreeSet<SoftwareVersion>| {
@@ -183,8 +184,8 @@
         closed
     }
 
-    /// Admission after a release is completed. Engines of the replaced versions get no more requests.
-    /// Engines of other versions that appear later replace those of the target version without an order.
+    /// Admission after a release is completed. Engines of the replaced versions get no more requests. Engines of
+    /// versions that appear later get requests without an order.
     fn after_completion(&self, known: &KnownRelease, versions: &ListedVersions) -> Admission {
         let target = &known.grant.order.target;
         let mut of_pool = self.engines.of_pool(&known.grant.order.pool);
--- a/crates/gateway/src/release/answer_timing.rs
+++ b/crates/gateway/src/release/answer_timing.rs
@@ -8,7 +8,7 @@
 
 use super::{TimedPart, TypicalTimes};
 
-/// The time between events is not a meaningful measure with fewer events than this.
+/// Minimum number of events after the first from which the mean time between events is meaningful.
 const MIN_EVENTS: u32 = 4;
 
 /// How an attempt ended.
@@ -28,7 +28,7 @@
     NotRun,
 }
 
-/// Timing of one answer of an engine, starting when the request is sent.
+/// Timing of one answer of an engine, measured from the time at which the request is sent.
 #[derive(Debug, Clone)]
 pub struct AnswerTiming {
     /// Pool of the engine.
@@ -44,7 +44,7 @@
     pub is_cold: bool,
     /// Whether the answer is a stream.
     pub is_stream: bool,
-    /// Estimated number of prompt tokens that the engine has to process (those not in its cache).
+    /// Estimated number of prompt tokens that are not in the cache of the engine, so that it has to process them.
     pub unread_tokens: u32,
     /// When the request was sent.
     pub sent_at: Timestamp,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Records that `count` complete events were received.
+    /// Records that `count` complete events were received. The first call only sets the time of the first event.
     pub fn note_events(&mut self, count: u32, now: Timestamp) {
         if self.first_event_at.is_none() {
             self.first_event_at = Some(now);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Updates the typical times with the times of this answer, which must be one of the present version.
+    /// Updates the typical times with the times of this answer, which must come from an engine of a present version.
     pub fn update_typical_times(&self, end: AnswerEnd, times: &mut TypicalTimes, now: Timestamp) {
         let is_usable = match end {
             AnswerEnd::Complete { is_success } => is_success,
@@ -122,7 +122,8 @@
         times.is_slow(self, TimedPart::Event, self.time_between_events())
     }
 
-    /// The first timed part of the answer and the time that it has taken so far.
+    /// The first timed part of the answer (the whole of it, unless it is a stream), and the time that it has taken so
+    /// far.
     fn first_part(&self, now: Timestamp) -> (TimedPart, Duration) {
         let until = self.first_event_at.unwrap_or(now);
         let part = match self.is_stream {
--- a/crates/gateway/src/release/directed_release.rs
+++ b/crates/gateway/src/release/directed_release.rs
@@ -7,8 +7,8 @@
 
 use super::RecordState;
 
-/// Minimum time between two equal grants. Because the director checks only once per tick, equal grants are sent
-/// about every third of a second. This is short compared with the lifetime of a grant: a node that misses two in
+/// Minimum time between two equal grants. Because the director checks only once per `TICK`, equal grants are
+/// sent about every third of a second. This is short compared with the lifetime of a grant: a node that misses two in
 /// a row still receives the next in time.
 const GRANT_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -22,8 +22,8 @@
     pub record: RecordState,
     /// Number of consecutive failed calls for the record.
     pub failures: u32,
-    /// Whether this director has recorded an outcome. A late write of the previous director may still be applied
-    /// until the revision of the order changes, which the first write of this director brings about.
+    /// Whether this director has recorded an outcome. Its first write changes the revision of the order; until then
+    /// the source may still apply a late write of the previous director.
     pub has_recorded: bool,
     last_sent: Option<SentGrant>,
 }
@@ -48,7 +48,8 @@
 
     /// The outcome that the record should contain now.
     fn outcome(&self) -> Outcome {
-        // The order was withdrawn and then restored: its target version gets no more requests.
+        // Only the stage `Withdrawn` has no outcome. If a withdrawn order is restored, its release is recorded as rolled
+        // back, as the target version gets no more requests.
         let outcome = self.progress.stage().outcome();
         outcome.unwrap_or(Outcome::RolledBack)
     }
@@ -70,8 +71,8 @@
     ) -> Option<Grant> {
         let mut grant = self.progress.grant(revision, fence, number, now);
         if grant.stage == Stage::Completed {
-            // The operator stops the present engines once the source contains the record. Until then the
-            // nodes only learn that all new requests go to the target version.
+            // Before the source contains the record, the operator does not stop the present engines, so the grant
+            // only says that all new requests go to the target version.
             grant.stage = Stage::Settling;
         }
         if !self.is_due(&grant, now) {
--- a/crates/gateway/src/release/director.rs
+++ b/crates/gateway/src/release/director.rs
@@ -1,4 +1,4 @@
-//! Directs releases; see docs/design/releases.md.
+//! Directs releases: evaluates the evidence, sends grants, and records outcomes; see docs/design/releases.md.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,10 +24,10 @@
 use crate::source::{FollowSettings, OrderedRelease, Recorded, ReleaseStore, SourceError};
 
 /// Interval at which the evidence is evaluated. A version whose answers are bad must get no more requests after
-/// a few seconds; this interval is part of that time, as is the time in which reports of answers and grants reach
-/// the nodes.
+/// a few seconds. They include this interval, and the time that reports of answers and grants take to reach
+/// other nodes.
 const TICK: Duration = Duration::from_millis(100);
-/// Delay after a failed call for a record.
+/// Delay before an order is read again after a call to write its record or to read it has failed.
 const RECORD_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Maximum factor by which consecutive failures lengthen the timeout for an answer of the source, which may be
 /// slow rather than unavailable.
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Starts to direct a release that this node has not directed so far, or not without interruption. The release
-    /// resumes from what this node knows of it.
+    /// Starts to direct a release, or resumes it from what this node knows of it if another node, or this one, has
+    /// directed it before.
     fn start(&self, release: &OrderedRelease, now: Timestamp) -> DirectedRelease {
         let order = &release.order;
         let release_settings = self.release_settings.clone();
--- a/crates/gateway/src/release/end_announcement.rs
+++ b/crates/gateway/src/release/end_announcement.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 
 /// Announces each release that has ended according to the source, unless this node already knows its end. The
-/// announcement also reaches nodes that were started since.
+/// announcement also reaches nodes that were started after the release ended.
 pub(super) fn announce_ends(gateway: &Gateway, orders: &Orders) {
     let known = gateway.known_grants();
     // A completed release has no effect once other engines have replaced those of its target version.
--- a/crates/gateway/src/release/evidence_update.rs
+++ b/crates/gateway/src/release/evidence_update.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Identifies an order in messages; short, since their size is limited.
+/// Identifies an order in messages. It has only 32 bits, as the size of messages is limited.
 pub type OrderKey = u32;
 
 /// Computes the key of an order.
--- a/crates/gateway/src/release/known_order.rs
+++ b/crates/gateway/src/release/known_order.rs
@@ -9,7 +9,8 @@
 pub struct KnownOrder {
     /// The order and its record, as last received from the source.
     pub release: OrderedRelease,
-    /// Whether the record belongs to an earlier order: this node saw the order change and the record stay the same.
+    /// Whether the record belongs to an earlier order, because this node saw the order change and the record
+    /// stay the same.
     is_record_stale: bool,
 }
 
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The outcome recorded for this order.
+    /// The outcome recorded for this order; `None` if there is no record or it belongs to another order.
     pub fn recorded(&self) -> Option<Outcome> {
         let record = self.release.record.as_ref()?;
         let is_own = record.target == self.release.order.target && !self.is_record_stale;
--- a/crates/gateway/src/release/known_release.rs
+++ b/crates/gateway/src/release/known_release.rs
@@ -11,8 +11,9 @@
 
 use super::Origin;
 
-/// Time after a stop from which a new grant shows that the director has seen the same answers and has not decided
-/// against the target version: reports of answers reach it in less than a second.
+/// A node that has stopped sending requests to the target version resumes the trial when it has a grant that was issued
+/// at least this long after the stop. By then the director has seen the same answers and has not decided against
+/// the version: reports of answers reach it in less than a second.
 const RESUME_DELAY: Duration = Duration::from_secs(2);
 
 /// A release as one node knows it.
@@ -35,11 +36,12 @@
     pub replaced: BTreeSet<SoftwareVersion>,
     /// Origin of each reporter in the evidence.
     origins: BTreeMap<Reporter, Origin>,
-    /// Comparison of both versions by the answers that this node knows of.
+    /// Comparison of the target version with the present ones, by the answers that this node knows of.
     comparison: Comparison,
-    /// Why this node has stopped sending requests to the target version ahead of the director's verdict.
+    /// Why this node has stopped sending requests to the target version ahead of the director's verdict; `None` if it
+    /// has not.
     stopped: Option<Rollback>,
-    /// When this node stopped last.
+    /// When this node last stopped sending requests to the target version.
     stopped_at: Timestamp,
 }
 
@@ -61,13 +63,13 @@
         }
     }
 
-    /// Whether the grant is still valid: a final one without limit, another one for `lifetime`, the maximum time that
-    /// a node may go on without a grant from the director.
+    /// Whether the grant is still valid. A final grant does not expire; others are valid for `lifetime`, the maximum
+    /// time that a node may continue without a new grant from the director.
     pub fn is_grant_valid(&self, lifetime: Duration, now: Timestamp) -> bool {
         self.grant.stage.is_final() || now.since(self.granted_at) < lifetime
     }
 
-    /// Whether this node has found the target version worse while the director has not decided.
+    /// Whether this node has stopped sending requests to the target version while the director has not decided.
     pub fn is_stopped(&self) -> bool {
         self.stopped.is_some() && !self.grant.stage.is_final()
     }
@@ -116,10 +118,10 @@
         self.evidence.total_of(is_counted)
     }
 
-    /// Evaluates all answers so far; returns the reason if this node stops sending requests to the target version
-    /// now. The node does not wait for the director, which may have failed. In the stage `Settling` a node that has
-    /// stopped resumes once later answers allow the shift: the present engines stop when the release is
-    /// completed, and requests that this node still sent to them would break off.
+    /// Evaluates the answers counted so far. If they are bad, this node stops sending requests to the target version
+    /// without waiting for the director, which may have failed; the reason is returned in the call that stops it. In
+    /// the stage `Settling` a node that has stopped resumes once later answers allow the shift: the present engines
+    /// stop when the release is completed, and requests that this node still sent to them would break off.
     pub fn observe(&mut self, total: &Counts, engines: usize, now: Timestamp) -> Option<&Rollback> {
         self.comparison.observe(total, self.grant.stage, now);
         if self.stopped.is_some() {
@@ -134,10 +136,10 @@
         self.stopped.as_ref()
     }
 
-    /// Resumes the trial if the director has had time to see the same answers and has not decided; returns whether it
-    /// does. Scores differ between nodes because reports arrive in different batches. If all nodes stopped for good,
-    /// no further answers would come, and a version that fails late would be rolled back only after three ramps
-    /// (24.0 s with a ramp of 8 s, measured in a soak test of four nodes).
+    /// Resumes the trial if the director has had time to see the same answers and has not decided; returns whether
+    /// the trial was resumed. Scores differ between nodes because reports arrive in different batches. If all nodes
+    /// stopped for good, no further answers would come, and a version that fails late would be rolled back only after
+    /// three ramps (24.0 s with a ramp of 8 s, measured in a soak test of four nodes).
     pub fn resume_trial(&mut self) -> bool {
         let grant_delay = self.granted_at.since(self.stopped_at);
         let is_due = self.grant.stage == Stage::Trial && grant_delay >= RESUME_DELAY;
--- a/crates/gateway/src/release/listed_versions.rs
+++ b/crates/gateway/src/release/listed_versions.rs
@@ -9,17 +9,19 @@
 
 use crate::engines::{Engine, EngineTable};
 
-/// Time after its first appearance in which a version gets no requests, since an order for it may follow and an
-/// ordered version must not get more than its share. The list of engines may contain a version before its order
-/// arrives: the two come by different calls to the source, and if the node that follows the orders fails, it
-/// takes two seconds until another one has read them.
+/// Time for which a version gets no requests after it first appears. An order for it may follow, and an ordered
+/// version must not get more than its share of the requests. The list of engines may contain a version before its order
+/// arrives: engines and orders are read by different calls to the source, and if the node that follows the orders
+/// fails, it takes two seconds until another one has read them.
 const ORDER_WAIT: Duration = Duration::from_secs(3);
 
 /// Summary of the listed engines of one version.
 #[derive(Debug, Clone, Copy)]
 struct Listed {
     engines: usize,
+    /// When an engine of the version was first listed.
     first_at: Timestamp,
+    /// Incarnation of the oldest engine; `None` if no engine has a known one.
     oldest: Option<Incarnation>,
 }
 
@@ -80,8 +82,8 @@
         self.0.len() <= 1
     }
 
-    /// The version of the oldest engine, which during a release is normally the present one. If the age of no engine
-    /// is known, the version with the most engines.
+    /// The version of the oldest engine, which during a release is normally the present one; if no engine's age is
+    /// known, the version with the most engines.
     pub fn oldest(&self) -> Option<&SoftwareVersion> {
         let by_age = self.0.iter().filter(|(_, listed)| listed.oldest.is_some());
         let oldest = by_age.min_by_key(|(_, listed)| listed.oldest);
--- a/crates/gateway/src/release/log_median.rs
+++ b/crates/gateway/src/release/log_median.rs
@@ -4,17 +4,19 @@
 
 /// Number of values from which the median is used: with fewer, one slow answer could count as typical.
 const MIN_VALUES: u32 = 8;
-/// Lower bound of the maximum relative change of the median per value; with it the median follows a change of load
-/// within some tens of answers.
+/// Lower bound of the maximum relative change of the median per value. Without it, the maximum would shrink further
+/// with each value; with it, the median follows a change of load within some tens of answers.
 const MIN_STEP: f64 = 0.03;
 /// Shorter times are rounded up to this value: the measurement is no more precise, and zero has no logarithm.
 const MIN_TIME: Duration = Duration::from_micros(100);
 
-/// Running median of a repeatedly measured duration, tracked on a logarithmic scale. The step per value is
-/// limited, however far off the value is, since the distribution of answer times has a heavy tail.
+/// Running median of a repeatedly measured duration, tracked on a logarithmic scale. Each value moves the
+/// median by a limited step, since the distribution of answer times has a heavy tail.
 #[derive(Debug, Clone, Copy)]
 pub struct LogMedian {
+    /// Natural logarithm of the median in seconds.
     log: f64,
+    /// Number of values so far.
     values: u32,
 }
 
--- a/crates/gateway/src/release/order_announcement.rs
+++ b/crates/gateway/src/release/order_announcement.rs
@@ -8,7 +8,7 @@
 
 /// Announces open orders to the nodes while this node does not hold the lease that it needs to direct them.
 /// Acquiring the lease may take long if the source is slow, refuses, or waits for the lease of a failed node to
-/// expire. Until the nodes know of the order they treat the engines of its target version as engines that need no
+/// expire. Nodes that do not know of the order treat the engines of its target version as engines that need no
 /// order, and send them a full share of the requests.
 pub(super) fn announce_orders(gateway: &Gateway, orders: &Orders) {
     let open = orders.iter().filter(|known| KnownOrder::is_open(known));
--- a/crates/gateway/src/release/order_follower.rs
+++ b/crates/gateway/src/release/order_follower.rs
@@ -20,13 +20,13 @@
 /// A node starts to follow the orders after it has been the candidate for this long without interruption. While
 /// nodes are discovering each other, several may briefly consider themselves the candidate.
 const START_DELAY: Duration = Duration::from_millis(500);
-/// A node stops following after it has not been the candidate for this long: one failed call to the source
-/// changes the candidate briefly.
+/// A node stops following the orders after it has not been the candidate for this long. One failed call to the source
+/// changes the candidate only briefly and must not stop the node.
 const STOP_DELAY: Duration = Duration::from_secs(1);
 /// First delay after a failure; doubles up to [`FollowSettings::longest_pause`].
 const MIN_BACKOFF: Duration = Duration::from_millis(60);
-/// Minimum time between the starts of two watches, which limits the rate of calls: several records may be written
-/// in a row, and a watch may be answered at once.
+/// Minimum time between the starts of two watches. It limits the rate of calls when several records are written in a
+/// row and each watch is answered at once.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum factor by which consecutive failures lengthen the timeout for an answer of the source, which may be
 /// slow rather than unavailable.
@@ -39,7 +39,9 @@
     store: Rc<dyn ReleaseStore>,
     settings: FollowSettings,
     orders: Rc<RefCell<Orders>>,
+    /// Versions that engines ran at the last check.
     versions: BTreeSet<PoolVersion>,
+    /// Number of consecutive failed calls to the source.
     failures: u32,
 }
 
@@ -111,6 +113,8 @@
         }
     }
 
+    /// Watches the orders until the source no longer has the changes since the known revision, so that all orders must
+    /// be listed again.
     async fn watch_until_history_gone(&mut self) {
         let mut is_immediate = false;
         loop {
@@ -125,8 +129,8 @@
             let store = Rc::clone(&self.store);
             let answer = tokio::select! {
                 answer = timeout(call_timeout, store.watch(revision, wait)) => answer,
-                // An operator orders a version before its engines start, so a watch that has not reported the
-                // order may have lost its connection. The next watch asks for an immediate answer.
+                // An operator orders a version before its engines start. If they run and the watch has not reported
+                // the order, it may have lost its connection, so the next watch asks for an immediate answer.
                 () = self.until_new_version(), if !wait.is_zero() => {
                     is_immediate = true;
                     continue;
--- a/crates/gateway/src/release/orders.rs
+++ b/crates/gateway/src/release/orders.rs
@@ -87,8 +87,8 @@
         *self = Self::default();
     }
 
-    /// Whether the order still exists as far as known: a late answer must not restore an order that was removed in the
-    /// meantime.
+    /// Whether the order still exists, as far as this node knows. A late answer must not restore an order that was
+    /// removed in the meantime.
     fn is_current(&self, release: &OrderedRelease) -> bool {
         let is_known = self.known.contains_key(&release.order.pool);
         is_known || Some(release.revision) > self.revision
--- a/crates/gateway/src/release/origin.rs
+++ b/crates/gateway/src/release/origin.rs
@@ -4,7 +4,7 @@
 use ryerouter_core::release::Reporter;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Set in the keys of zones, to tell them from those of nodes, which are incarnations of 32 bits.
+/// Set in the keys of zones to distinguish them from the keys of nodes, which are 32-bit incarnations.
 const ZONE_BIT: Reporter = 1 << 63;
 
 /// Origin of reported counts of answers.
--- a/crates/gateway/src/release/record_reader.rs
+++ b/crates/gateway/src/release/record_reader.rs
@@ -22,8 +22,8 @@
 
 /// Interval at which expired grants are looked for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Delay before a node that lacks the orders first reads them all, in seconds. Most nodes receive them from others
-/// before that.
+/// Delay before a node that lacks the orders reads them all for the first time, in seconds. Most nodes receive the
+/// orders from other nodes within this time.
 const FIRST_LIST_DELAY: Range<f64> = 0.2..0.8;
 /// Delay before the first read after a grant has expired, in seconds; random because many nodes may lose their
 /// director at once.
@@ -31,17 +31,19 @@
 /// Delay between reads, in seconds.
 const RETRY_DELAY: Range<f64> = 1.0..1.5;
 
-/// Reads the record of a release whose director sends no grants. According to the record, the operator may have
-/// stopped the present engines, or the target version may have to get no more requests. A node that was just
-/// started and lists engines of several versions before it has received any orders reads all orders: the ages of
-/// the engines don't show which version is under trial if the present engines have been replaced since.
+/// Reads the record of a release whose director sends no grants. The release may have ended without this node's
+/// knowledge: after a completion the operator may stop the present engines, and after a rollback the target
+/// version must get no more requests. A node that was just started and lists engines of several versions before it
+/// has received any orders reads all orders: the ages of the engines don't show which version is under trial if the
+/// present engines have been replaced since the trial began.
 pub(super) struct RecordReader {
     pub(super) gateway: Rc<Gateway>,
     pub(super) store: Rc<dyn ReleaseStore>,
     pub(super) answer_timeout: Duration,
     pub(super) orders: Rc<RefCell<Orders>>,
+    /// When the order of each pool whose grant has expired is to be read next.
     pub(super) next_reads: BTreeMap<PoolName, Timestamp>,
-    /// When all orders are to be read next; `None` while they are not lacking.
+    /// When all orders are to be read next; `None` if this node does not lack them.
     pub(super) next_list: Option<Timestamp>,
 }
 
--- a/crates/gateway/src/release/recorded_grant.rs
+++ b/crates/gateway/src/release/recorded_grant.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// A grant with number zero. Each grant of a director supersedes it, as a director's numbers begin above zero.
+/// A grant with fence and number zero. Each grant of a director supersedes it, as a director's numbers begin above
+/// zero.
 fn recorded_grant(release: &OrderedRelease, stage: Stage, share: f64) -> Grant {
     Grant {
         order: release.order.clone(),
--- a/crates/gateway/src/release/stage_log.rs
+++ b/crates/gateway/src/release/stage_log.rs
@@ -6,7 +6,7 @@
 
 use crate::gateway::Gateway;
 
-/// Logs and counts that a release has entered another stage.
+/// Logs that a release has entered another stage, and counts the change in the metrics.
 pub(super) fn log_stage(
     gateway: &Gateway,
     progress: &Progress,
--- a/crates/gateway/src/release/table.rs
+++ b/crates/gateway/src/release/table.rs
@@ -19,7 +19,7 @@
     pub knows_orders: bool,
     /// Typical durations of the present versions' answers.
     pub typical_times: TypicalTimes,
-    /// Pools whose stage is to be sent to every node at once.
+    /// Pools whose grant starts another stage, so that it is to be sent to every node at once.
     pub urgent: BTreeSet<PoolName>,
     /// Versions that each pool's requests may be sent to without a valid grant, as of the last check.
     pub open_versions: BTreeMap<PoolName, BTreeSet<SoftwareVersion>>,
@@ -36,8 +36,8 @@
             return true;
         };
         if known.grant == grant {
-            // The same grant arrived by two paths. The recorded ages do not include the time in transit,
-            // so the earlier of the two times is more accurate.
+            // The same grant arrived by two paths. The ages in the messages do not include the time in transit, so the
+            // earlier of the two times is more accurate.
             known.granted_at = known.granted_at.min(granted_at);
         }
         if !grant.supersedes(&known.grant) {
@@ -100,7 +100,8 @@
         known.evidence.note(cell, judgement);
     }
 
-    /// Whether answers of a version count towards the typical times of the present version.
+    /// Whether a version is a present one of its pool, so that its answers count towards the typical times. All versions
+    /// are present except the target version of a release that is not completed.
     pub fn is_present(&self, pool: &PoolName, software: &str) -> bool {
         self.releases.get(pool).is_none_or(|known| {
             let grant = &known.grant;
@@ -112,7 +113,8 @@
 /// The versions that stay rejected when an order for `target` replaces the `former` one.
 fn rejected_versions(former: &KnownRelease, target: &str) -> BTreeSet<SoftwareVersion> {
     let mut rejected = former.rejected.clone();
-    // A version that was still under trial is not known to be good, like one whose order was withdrawn.
+    // A version that was still under trial is not known to be good, so it is rejected like one whose order was
+    // withdrawn.
     let is_under_trial = matches!(former.grant.stage, Stage::Trial | Stage::Shifting);
     if former.is_rejected() || is_under_trial {
         rejected.insert(former.grant.order.target.clone());
--- a/crates/gateway/src/release/typical_times.rs
+++ b/crates/gateway/src/release/typical_times.rs
@@ -7,11 +7,12 @@
 
 use super::{AnswerTiming, LogMedian};
 
-/// An answer that takes more than this multiple of the typical time is slow. Bad versions take several times as
-/// long. Few answers of the present version do, and they are counted too.
+/// An answer that takes more than this multiple of the typical time is slow. Answers of bad versions take several
+/// times as long as typical ones. Few answers of the present version do, and these also
+/// count as slow.
 const SLOW_FACTOR: f64 = 2.5;
 /// Upper bounds of the classes in which answers are compared, in prompt tokens that the engine has to process.
-/// Without classes, a version whose engines have empty caches and so process more tokens would seem slow.
+/// Without classes, a version would seem slow if its engines had empty caches and so processed more tokens.
 const UNREAD_CLASSES: [u32; 3] = [512, 2_048, 8_192];
 /// Maximum number of medians. Those of removed routes are not deleted one by one; when the maximum is reached, all
 /// medians are discarded and measured anew.
@@ -20,11 +21,11 @@
 /// Part of an answer that is timed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TimedPart {
-    /// A complete answer that is not a stream, by the class of the tokens to process.
+    /// A complete answer that is not a stream, with the class of its number of tokens to process.
     CompleteAnswer(usize),
-    /// From sending the request to the first event of a stream, by the class of the tokens to process.
+    /// From sending the request to the first event of a stream, with the class of its number of tokens to process.
     FirstEvent(usize),
-    /// From one event of a stream to the next.
+    /// From one event of a stream to the next, as the mean over an answer.
     Event,
 }
 
