--- a/crates/gateway/src/release/end_announcement.rs
+++ b/crates/gateway/src/release/end_announcement.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 
 /// Announces each release that has ended according to the source, unless this node already knows its end. The
-/// announcement also reaches nodes that were started since.
+/// announcement also reaches nodes that were started after the release ended.
 pub(super) fn announce_ends(gateway: &Gateway, orders: &Orders) {
     let known = gateway.known_grants();
     // A completed release has no effect once other engines have replaced those of its target version.
@@ -37,7 +37,7 @@
 fn is_known_end(gateway: &Gateway, grant: &Grant) -> bool {
     let known = gateway.known_grant(&grant.order.pool);
     known.is_some_and(|(known, _)| {
-        let has_same_stage = known.order == grant.order && known.stage == grant.stage;
-        has_same_stage || !grant.supersedes(&known)
+        let is_same_end = known.order == grant.order && known.stage == grant.stage;
+        is_same_end || !grant.supersedes(&known)
     })
 }
